--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -155,7 +155,7 @@
   protocol::Tokens tokens;
   tokens.mId = 12345;
   tokens.mText = std::string(static_cast<std::size_t>(aState.range(0)), 'x');
-  const coordination::AnswerHead head{
+  const coordination::ResponseMetadata head{
     state::RequestKind::kChat, "an id of the usual length", "crew-notes", 1
   };
   for (auto _ : aState) {
@@ -221,7 +221,7 @@
     const auto now = clock.Now();
     queue.Expire(now);
     const auto next = queue.Next(now);
-    queue.FirstToken(next->mId);
+    queue.NoteFirstToken(next->mId);
     queue.Remove(next->mId);
     benchmark::DoNotOptimize(queue.NextWake(now));
   }
@@ -239,7 +239,7 @@
   for (std::int64_t i = 0; i < aState.range(0); ++i) {
     teams.push_back("team-" + std::to_string(i));
     for (std::size_t measure = 0; measure < 5; ++measure) {
-      metrics.Observe(static_cast<coordination::RequestMeasure>(measure),
+      metrics.Observe(static_cast<coordination::RequestMetric>(measure),
                       teams.back(),
                       state::Priority::kUrgent,
                       0.1);
@@ -248,7 +248,7 @@
   NoteBytes(aState, before, aState.range(0));
   std::size_t next = 0;
   for (auto _ : aState) {
-    metrics.Observe(coordination::RequestMeasure::kFirstToken,
+    metrics.Observe(coordination::RequestMetric::kFirstToken,
                     teams[++next % teams.size()],
                     state::Priority::kUrgent,
                     0.1);
--- a/examples/04_claim.cpp
+++ b/examples/04_claim.cpp
@@ -17,10 +17,10 @@
                 std::string(kClaimStepNames.Name(machine.Step())).c_str());
   };
   say("at first");
-  machine.CreateAnswered(
+  machine.OnCreateResult(
     Fail(ErrorCode::kTimeout, "platform.write", "platform", "no answer"));
   say("the answer to the create is lost");
-  machine.ReadAnswered(std::optional(machine.Own(0)));
+  machine.OnReadResult(std::optional(machine.NewRecord(0)));
   say("its own nonce stands there");
-  return machine.Step() == ClaimStep::kHandOver ? 0 : 1;
+  return machine.Step() == ClaimStep::kExecute ? 0 : 1;
 }
--- a/packages/coordination/include/shuntjunction/coordination/admin.h
+++ b/packages/coordination/include/shuntjunction/coordination/admin.h
@@ -12,7 +12,7 @@
 namespace shuntjunction::coordination {
 
 /// What the operators' port needs of its process.
-struct AdminParts
+struct AdminDependencies
 {
   const state::Settings& mSettings;
   Metrics& mMetrics;
@@ -30,7 +30,7 @@
 class Admin final : public transport::HttpHandler
 {
 public:
-  explicit Admin(AdminParts aParts);
+  explicit Admin(AdminDependencies aParts);
 
   transport::Task<void> Handle(transport::HttpExchange& aExchange) override;
   transport::HttpResponse Refusal(unsigned aStatus,
@@ -43,7 +43,7 @@
     const transport::HttpRequest& aRequest);
   bool IsReady() const;
 
-  AdminParts mParts;
+  AdminDependencies mParts;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/backend.h
+++ b/packages/coordination/include/shuntjunction/coordination/backend.h
@@ -73,10 +73,10 @@
 using BackendEvent = std::variant<BackendTokens, BackendEnd>;
 
 /// An answer while it arrives; destroying it early cancels the work.
-class BackendAnswer
+class BackendResponse
 {
 public:
-  virtual ~BackendAnswer() = default;
+  virtual ~BackendResponse() = default;
 
   /// Life of the engine that answers; 0 for a plain service.
   virtual state::Incarnation CurrentIncarnation() const = 0;
@@ -110,7 +110,7 @@
   /// Hands a request over.
   ///
   /// @return kUnavailable when it was certainly not run
-  virtual transport::Task<state::Result<std::unique_ptr<BackendAnswer>>> Open(
+  virtual transport::Task<state::Result<std::unique_ptr<BackendResponse>>> Open(
     BackendCall aCall) = 0;
 
   /// What it says of itself now.
--- a/packages/coordination/include/shuntjunction/coordination/chat_api.h
+++ b/packages/coordination/include/shuntjunction/coordination/chat_api.h
@@ -33,7 +33,7 @@
 PromptLevels(state::RequestKind aKind, const boost::json::object& aBody);
 
 /// What all parts of one answer have in common.
-struct AnswerHead
+struct ResponseMetadata
 {
   state::RequestKind mKind = state::RequestKind::kChat;
   std::string mId;
@@ -43,22 +43,23 @@
 
 /// One piece of a streamed answer, as a server-sent event.
 std::string
-WriteChunk(const AnswerHead& aHead,
+WriteChunk(const ResponseMetadata& aHead,
            std::string_view aText,
            std::string_view aFinishReason);
 
 /// The piece that carries the usage counts, as a server-sent event.
 std::string
-WriteUsageChunk(const AnswerHead& aHead, const protocol::Finished& aFinished);
+WriteUsageChunk(const ResponseMetadata& aHead,
+                const protocol::Finished& aFinished);
 
 /// Last event of a complete stream.
 inline constexpr std::string_view kStreamEnd = "data: [DONE]\n\n";
 
 /// A whole answer.
 std::string
-WriteWhole(const AnswerHead& aHead,
-           std::string_view aText,
-           const protocol::Finished& aFinished);
+WriteFullResponse(const ResponseMetadata& aHead,
+                  std::string_view aText,
+                  const protocol::Finished& aFinished);
 
 /// Why a request got no answer.
 struct ApiError
--- a/packages/coordination/include/shuntjunction/coordination/claim_keeper.h
+++ b/packages/coordination/include/shuntjunction/coordination/claim_manager.h
@@ -15,7 +15,7 @@
 inline constexpr std::size_t kMaxRecordedBytes = 256UL * 1024;
 
 /// How a claim was settled.
-struct ClaimVerdict
+struct ClaimResult
 {
   state::ClaimStep mStep = state::ClaimStep::kUndecided;
   state::ClaimRecord mRecord;  ///< own record, or the other's
@@ -26,29 +26,29 @@
 /// Settles claims by conditional writes and reads back what is unsure.
 ///
 /// Thread safety: none; used on one thread.
-class ClaimKeeper
+class ClaimManager
 {
 public:
   /// @param aPlatform, aClock, aMetrics  outlive the keeper
-  ClaimKeeper(boost::asio::io_context& aContext,
-              Platform& aPlatform,
-              const state::Clock& aClock,
-              Metrics& aMetrics);
+  ClaimManager(boost::asio::io_context& aContext,
+               Platform& aPlatform,
+               const state::Clock& aClock,
+               Metrics& aMetrics);
 
   /// Claims a key for a request.
   ///
   /// @param aDigest  SHA-256 of the request
   /// @param aUntil   when to give up; nothing is run after kUndecided
-  transport::Task<ClaimVerdict> Settle(std::string aTeam,
-                                       std::string aKey,
-                                       std::string aDigest,
-                                       state::TimePoint aUntil);
+  transport::Task<ClaimResult> Settle(std::string aTeam,
+                                      std::string aKey,
+                                      std::string aDigest,
+                                      state::TimePoint aUntil);
 
   /// Records the outcome of a request that was run under a claim.
-  transport::Task<void> Record(ClaimVerdict aVerdict);
+  transport::Task<void> Record(ClaimResult aVerdict);
 
   /// Starts to delete a claim whose request was certainly not run.
-  void Release(const ClaimVerdict& aVerdict);
+  void Release(const ClaimResult& aVerdict);
 
   /// Records and releases that are still being written.
   std::size_t Pending() const { return mPending; }
@@ -56,7 +56,7 @@
 private:
   transport::Task<void> Delete(std::string aKey, std::string aNonce);
   transport::Task<state::Result<std::optional<state::ClaimRecord>>> ReadRecord(
-    ClaimVerdict& aVerdict);
+    ClaimResult& aVerdict);
 
   boost::asio::io_context& mContext;
   Platform& mPlatform;
--- a/packages/coordination/include/shuntjunction/coordination/claim_sweeper.h
+++ b/packages/coordination/include/shuntjunction/coordination/claim_sweeper.h
@@ -39,7 +39,7 @@
   void Start();
 
   /// Takes the list of instances that came into force.
-  void TakeInstances(SharedInstances aInstances);
+  void ApplyInstances(SharedInstances aInstances);
 
   /// Deletes the old claims of one shard.
   ///
--- a/packages/coordination/include/shuntjunction/coordination/companion.h
+++ b/packages/coordination/include/shuntjunction/coordination/companion.h
@@ -8,7 +8,7 @@
 #include <unordered_set>
 
 #include "shuntjunction/coordination/backend.h"
-#include "shuntjunction/coordination/claim_keeper.h"
+#include "shuntjunction/coordination/claim_manager.h"
 #include "shuntjunction/coordination/config_feed.h"
 #include "shuntjunction/coordination/log.h"
 #include "shuntjunction/coordination/metrics.h"
@@ -35,7 +35,7 @@
             Platform& aPlatform,
             const state::Clock& aClock,
             Metrics& aMetrics,
-            PeerSnapshotTaker aOnPeerSnapshot);
+            PeerSnapshotHandler aOnPeerSnapshot);
   ~Companion();
   Companion(const Companion&) = delete;
   Companion& operator=(const Companion&) = delete;
@@ -44,10 +44,10 @@
   state::Result<state::Address> Start();
 
   /// Takes a configuration that came into force.
-  void TakeConfig(PublishedConfig aConfig);
+  void ApplyConfig(PublishedConfig aConfig);
 
   /// Refuses new work, tells all routers, and lets running work end.
-  void BeginLeaving();
+  void BeginDrain();
 
   /// Whether nothing runs and nothing is left to be written.
   bool IsIdle() const;
@@ -93,8 +93,8 @@
   void Admit(const WorkPtr& aWork);
   transport::Task<void> RunWork(WorkPtr aWork);
   transport::Task<bool> AwaitAdmission(WorkPtr aWork);
-  transport::Task<bool> AwaitClaim(WorkPtr aWork, ClaimVerdict& aVerdict);
-  transport::Task<void> RunBackend(WorkPtr aWork, ClaimVerdict aVerdict);
+  transport::Task<bool> AwaitClaim(WorkPtr aWork, ClaimResult& aVerdict);
+  transport::Task<void> RunBackend(WorkPtr aWork, ClaimResult aVerdict);
   transport::Task<bool> AwaitWindow(WorkPtr aWork);
   void FinishWork(Work& aWork, const BackendEnd& aEnd);
   void Replay(Work& aWork, const state::ClaimRecord& aRecord);
@@ -115,8 +115,8 @@
   Backend& mBackend;
   const state::Clock& mClock;
   Metrics& mMetrics;
-  PeerSnapshotTaker mOnPeerSnapshot;
-  ClaimKeeper mClaims;
+  PeerSnapshotHandler mOnPeerSnapshot;
+  ClaimManager mClaims;
   Log mLog;
   PublishedConfig mConfig;
   state::BlockIndex mIndex;
--- a/packages/coordination/include/shuntjunction/coordination/config_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/config_feed.h
@@ -45,7 +45,7 @@
 };
 
 /// Passes a peer's snapshot on to the control thread.
-using PeerSnapshotTaker =
+using PeerSnapshotHandler =
   std::function<void(protocol::SnapshotReply, std::string)>;
 
 /// Settings of a ConfigFeed.
@@ -65,12 +65,12 @@
 {
   std::uint64_t mPlatformCalls = 0;
   std::uint64_t mPlatformErrors = 0;
-  std::uint64_t mOlderRefused = 0; ///< answers older than what is in force
+  std::uint64_t mStaleAnswers = 0; ///< answers older than what is in force
   std::uint64_t mGaps = 0;
   std::uint64_t mFromPeers = 0;
-  std::uint64_t mWatcherQuestions = 0;
-  std::uint64_t mWatchersSilent = 0; ///< rounds in which none answered
-  std::uint64_t mPeerBytes = 0;      ///< both ways, in frames
+  std::uint64_t mWatcherQueries = 0;
+  std::uint64_t mUnansweredRounds = 0; ///< rounds in which none answered
+  std::uint64_t mPeerBytes = 0;        ///< both ways, in frames
 };
 
 /// Follows the platform, or those who follow it.
@@ -99,8 +99,8 @@
   void Start();
 
   /// Takes a configuration that a peer sent.
-  void TakePeerSnapshot(const protocol::SnapshotReply& aReply,
-                        const std::string& aPeer);
+  void ApplyPeerSnapshot(const protocol::SnapshotReply& aReply,
+                         const std::string& aPeer);
 
   /// Version in force.
   state::ConfigVersion Version() const { return mStore.Version(); }
@@ -116,20 +116,20 @@
   transport::Task<void> FollowInstances();
   transport::Task<bool> ListAll();
   transport::Task<bool> WatchOnce();
-  transport::Task<bool> IsEpochInForce();
-  transport::Task<void> AskPeers();
-  transport::Task<bool> AskWatchers();
+  transport::Task<bool> IsEpochCurrent();
+  transport::Task<void> QueryPeers();
+  transport::Task<bool> QueryWatchers();
   transport::Task<void> FollowCompanions();
   transport::Task<bool> Ask(SnapshotClient& aClient, std::string aAddress);
-  transport::Task<void> PauseUntilAsked();
+  transport::Task<void> PauseBetweenQueries();
   bool IsWatcher() const;
   transport::Task<void> PauseAfterFailure();
   state::Millis Jittered(state::Millis aPause);
   void Publish();
-  void LogInForce() const;
+  void LogActiveConfig() const;
   std::string InstancesText() const;
-  bool TakePeerConfig(const std::string& aText, const std::string& aPeer);
-  bool TakePeerInstances(const std::string& aText, const std::string& aPeer);
+  bool ApplyPeerConfig(const std::string& aText, const std::string& aPeer);
+  bool ApplyPeerInstances(const std::string& aText, const std::string& aPeer);
   void NoteOutcome(state::MergeOutcome aOutcome, std::uint64_t aRevision);
 
   boost::asio::io_context& mContext;
@@ -143,7 +143,7 @@
   ConfigFeedCounters mCounters;
   SnapshotClient mPeers;             ///< used by FollowConfig
   SnapshotClient mCompanions;        ///< used by FollowCompanions
-  bool mWantsWhole = false;          ///< a peer's changes did not fit
+  bool mNeedsFullSnapshot = false;   ///< a peer's changes did not fit
   std::uint64_t mRefusedVersion = 0; ///< of a peer with an older snapshot
   bool mHasWatchers = false;         ///< one answered the last question
   state::RandomSource mRandom;
--- a/packages/coordination/include/shuntjunction/coordination/engine_control.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_control.h
@@ -21,7 +21,7 @@
   std::uint64_t mOrdersTaken = 0;
   std::int64_t mQueued = 0;
   std::int64_t mActive = 0;
-  state::EndpointLife mLife;
+  state::EndpointIncarnation mEndpointIncarnation;
 };
 
 /// An order to load other weights.
@@ -38,10 +38,10 @@
 /// What became of an order.
 enum class OrderOutcome : std::uint8_t
 {
-  kUnderWay,
-  kInForce,    ///< the engine has these weights already
-  kSuperseded, ///< another order runs, or came first
-  kFenced,     ///< a higher fencing number was seen
+  kInProgress,
+  kAlreadyLoaded, ///< the engine has these weights already
+  kSuperseded,    ///< another order runs, or came first
+  kFenced,        ///< a higher fencing number was seen
   kWrongEngine,
   kRefused,
 };
@@ -62,10 +62,11 @@
 /// Changes after a position in the sequence of all.
 struct PartChanges
 {
-  std::uint64_t mEpoch = 0;  ///< another one: it restarted, and keeps nothing
-  std::uint64_t mNext = 0;   ///< position to ask from next
-  bool mIsGap = false;       ///< some changes before these were forgotten
-  state::EndpointLife mLife; ///< of the engine or store that tells
+  std::uint64_t mEpoch = 0; ///< another one: it restarted, and keeps nothing
+  std::uint64_t mNext = 0;  ///< position to ask from next
+  bool mIsGap = false;      ///< some changes before these were forgotten
+  state::EndpointIncarnation
+    mEndpointIncarnation; ///< of the engine or store that tells
   std::vector<PartChange> mChanges;
 };
 
@@ -77,12 +78,12 @@
 class EngineControl
 {
 public:
-  using NoticeTaker = std::function<void(const state::EndpointNotice&)>;
+  using NoticeHandler = std::function<void(const state::EndpointNotice&)>;
 
   virtual ~EngineControl() = default;
 
   /// Sets what takes what each answer advertises, before the call returns.
-  virtual void OnNotice(NoticeTaker aTake) = 0;
+  virtual void SetNoticeHandler(NoticeHandler aTake) = 0;
 
   /// Asks for the engine's report.
   virtual transport::Task<state::Result<EngineReport>> Report() = 0;
--- a/packages/coordination/include/shuntjunction/coordination/engine_watch.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_monitor.h
@@ -11,17 +11,17 @@
 /// Asks the engine for its report a few times a second, and hands it on.
 ///
 /// Thread safety: none; used on the thread of its context.
-class EngineWatch
+class EngineMonitor
 {
 public:
-  using Taker = std::function<void(const EngineReport&)>;
+  using Handler = std::function<void(const EngineReport&)>;
 
   /// The engine and the news outlive the watch.
   /// @param aTake  called with each report
-  EngineWatch(transport::asio::io_context& aContext,
-              EngineControl& aEngine,
-              EngineNewsServer& aNews,
-              Taker aTake);
+  EngineMonitor(transport::asio::io_context& aContext,
+                EngineControl& aEngine,
+                EngineNewsServer& aNews,
+                Handler aTake);
 
   /// Begins to watch.
   void Start();
@@ -32,7 +32,7 @@
   transport::asio::io_context& mContext;
   EngineControl& mEngine;
   EngineNewsServer& mNews;
-  Taker mTake;
+  Handler mTake;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/engine_news.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_news.h
@@ -61,7 +61,7 @@
   ///
   /// @param aShares  of teams' limits; outlives the server
   /// @param aLimits  rates of endpoints; outlives the server
-  void SetLimits(state::ShareKeeper& aShares, state::EndpointLimits& aLimits);
+  void SetLimits(state::LimitShares& aShares, state::EndpointLimits& aLimits);
 
   /// Begins to accept relays; returns the address with the kernel's port.
   state::Result<state::Address> Start(const state::Address& aAddress);
@@ -77,12 +77,12 @@
 
   /// Takes which life the engine itself just said to be in; what was told of
   /// another is forgotten.
-  void SetLife(state::EndpointLife aLife);
+  void SetLife(state::EndpointIncarnation aLife);
 
   /// Adds parts that a holder keeps and takes away those that it lost; what a
   /// former life said is passed over.
   void ChangeParts(PartHolder aHolder,
-                   state::EndpointLife aLife,
+                   state::EndpointIncarnation aLife,
                    const std::vector<std::string>& aGained,
                    const std::vector<std::string>& aLost);
 
@@ -104,11 +104,12 @@
 class EngineNewsClient
 {
 public:
-  using Taker = std::function<void(const protocol::EngineNews&)>;
-  using PartTaker = std::function<void(const protocol::PartReading&)>;
-  using CrashTaker = std::function<void(const protocol::CrashReports&)>;
-  using RateTaker = std::function<void(const state::RateNews&)>;
-  using EndTaker = std::function<void(const std::string&)>;
+  using Handler = std::function<void(const protocol::EngineNews&)>;
+  using PartReadingHandler = std::function<void(const protocol::PartReading&)>;
+  using CrashReportsHandler =
+    std::function<void(const protocol::CrashReports&)>;
+  using RateNewsHandler = std::function<void(const state::RateNews&)>;
+  using ConnectionEndHandler = std::function<void(const std::string&)>;
 
   /// @param aPort  of the companions, the same on all machines
   /// @param aTake  called with each news
@@ -121,11 +122,11 @@
                    transport::ChannelIdentity aIdentity,
                    std::uint16_t aPort,
                    EventLog& aLog,
-                   Taker aTake,
-                   PartTaker aTakePart,
-                   CrashTaker aTakeCrashes,
-                   RateTaker aTakeRate,
-                   EndTaker aTakeEnd);
+                   Handler aTake,
+                   PartReadingHandler aTakePart,
+                   CrashReportsHandler aTakeCrashes,
+                   RateNewsHandler aTakeRate,
+                   ConnectionEndHandler aTakeEnd);
   ~EngineNewsClient();
   EngineNewsClient(const EngineNewsClient&) = delete;
   EngineNewsClient& operator=(const EngineNewsClient&) = delete;
@@ -135,20 +136,20 @@
 
   /// Tells the other relays of a part that an engine reads; dropped while its
   /// companion cannot be reached.
-  void Tell(const std::string& aEndpointAddress,
-            const protocol::PartReading& aReading);
+  void SendPartReading(const std::string& aEndpointAddress,
+                       const protocol::PartReading& aReading);
 
   /// Tells the other relays of crashes, by way of two companions: each of them
   /// reaches all relays, and tells those that come later.
   ///
   /// @param aEndpoint  names the endpoint that crashed; all relays choose the
   ///                   same companions for it, if they reach the same
-  void TellCrashes(std::uint64_t aEndpoint,
-                   const protocol::CrashReports& aReports);
+  void SendCrashReports(std::uint64_t aEndpoint,
+                        const protocol::CrashReports& aReports);
 
   /// Asks the companion of a host for a part of a limit; empty when it cannot
   /// be reached, or gives no answer soon.
-  transport::Task<std::optional<state::ShareGrant>> AskShare(
+  transport::Task<std::optional<state::ShareGrant>> RequestShare(
     std::string aHost,
     state::ShareAsk aAsk);
 
@@ -158,12 +159,12 @@
 
   /// Asks the companion of a host for a place at an endpoint; empty when it
   /// cannot be reached, or gives no answer soon.
-  transport::Task<std::optional<state::PlaceGrant>> AskPlace(
+  transport::Task<std::optional<state::PlaceGrant>> RequestPermit(
     std::string aHost,
     state::PlaceAsk aAsk);
 
   /// Gives back a place; dropped while its keeper cannot be reached.
-  void ReturnPlace(const std::string& aHost, state::LimitHash aEndpoint);
+  void ReturnPermit(const std::string& aHost, state::LimitHash aEndpoint);
 
   /// Reports what an endpoint's answer said of its rate; dropped likewise.
   void ReportRate(const std::string& aHost, const state::RateReport& aReport);
--- a/packages/coordination/include/shuntjunction/coordination/engine_orders.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_reconciler.h
@@ -25,22 +25,22 @@
 /// companion computes alike, so that the model is served throughout.
 ///
 /// Thread safety: none; lives on the traffic thread.
-class EngineOrders
+class EngineReconciler
 {
 public:
   /// @param aSettings, aBackend, aCompanion, aPlatform, aMetrics  outlive it
-  EngineOrders(boost::asio::io_context& aContext,
-               const state::Settings& aSettings,
-               Backend& aBackend,
-               Companion& aCompanion,
-               Platform& aPlatform,
-               Metrics& aMetrics);
+  EngineReconciler(boost::asio::io_context& aContext,
+                   const state::Settings& aSettings,
+                   Backend& aBackend,
+                   Companion& aCompanion,
+                   Platform& aPlatform,
+                   Metrics& aMetrics);
 
   /// Starts to reconcile; runs until the context stops.
   void Start();
 
   /// Takes a configuration that came into force.
-  void TakeConfig(std::shared_ptr<const state::ConfigSnapshot> aConfig);
+  void ApplyConfig(std::shared_ptr<const state::ConfigSnapshot> aConfig);
 
 private:
   transport::Task<void> Follow();
@@ -49,7 +49,7 @@
   transport::Task<bool> IsMyTurn(std::string aModel, std::uint32_t aWeights);
   transport::Task<bool> Run(state::OrderMachine& aMachine, BackendOrder aOrder);
   transport::Task<void> Give(BackendOrder aOrder);
-  transport::Task<state::Result<state::HeldFence>> ReadFence();
+  transport::Task<state::Result<state::StoredFence>> ReadFence();
   transport::Task<void> PauseAfterFailure();
   std::optional<BackendOrder> Wanted() const;
   bool IsInLine(const BackendOrder& aOrder) const;
--- a/packages/coordination/include/shuntjunction/coordination/http_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/http_platform.h
@@ -28,14 +28,14 @@
   transport::Task<state::Result<void>> Delete(
     std::string aKey,
     std::uint64_t aIfRevision) override;
-  transport::Task<state::Result<WatchAnswer>> Watch(
+  transport::Task<state::Result<WatchResult>> Watch(
     std::string aPrefix,
     std::uint64_t aAfter,
     state::Millis aWait) override;
   transport::Task<state::Result<InstanceList>> Instances(
     std::uint64_t aAfter,
     state::Millis aWait) override;
-  transport::Task<state::Result<ObjectList>> Glance(
+  transport::Task<state::Result<ObjectList>> ListCached(
     std::string aPrefix) override
   {
     return List(std::move(aPrefix));
--- a/packages/coordination/include/shuntjunction/coordination/metrics.h
+++ b/packages/coordination/include/shuntjunction/coordination/metrics.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t kMaxMeasuredTeams = 2048;
 
 /// What is measured of requests, by team and class.
-enum class RequestMeasure : std::uint8_t
+enum class RequestMetric : std::uint8_t
 {
   kFirstToken,    ///< seconds from arrival to the first token
   kBetweenTokens, ///< seconds between two tokens
@@ -33,8 +33,8 @@
   kRecomputed,    ///< blocks of its prompt that were computed
 };
 
-/// Names of RequestMeasure, as metrics.
-inline constexpr state::EnumNames<RequestMeasure, 5> kRequestMeasureNames{
+/// Names of RequestMetric, as metrics.
+inline constexpr state::EnumNames<RequestMetric, 5> kRequestMetricNames{
   { "shuntjunction_first_token_seconds",
     "shuntjunction_between_tokens_seconds",
     "shuntjunction_queue_seconds",
@@ -88,7 +88,7 @@
 {
 public:
   /// Adds a value of a request.
-  void Observe(RequestMeasure aMeasure,
+  void Observe(RequestMetric aMeasure,
                std::string_view aTeam,
                state::Priority aPriority,
                double aValue);
--- a/packages/coordination/include/shuntjunction/coordination/zone_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
@@ -11,7 +11,7 @@
 #include "shuntjunction/coordination/platform.h"
 #include "shuntjunction/coordination/snapshot_client.h"
 #include "shuntjunction/state/object_mirror.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 #include "shuntjunction/state/zone_watchers.h"
 
 /// The platform as the watchers of a process's zone tell it.
@@ -21,7 +21,7 @@
 enum class StoreCall : std::uint8_t
 {
   kList,
-  kGlance, ///< a list that may be old
+  kListCached, ///< a list that may be old
   kRead,
   kWrite,
   kWatch,
@@ -32,24 +32,24 @@
   { "list", "glance", "read", "write", "watch" }
 };
 
-/// Settings of a ZonePlatform.
-struct ZonePlatformSettings
+/// Settings of a MirroredPlatform.
+struct MirroredPlatformSettings
 {
   std::string mName;   ///< of this process
   std::string mSecret; ///< shared with the watchers
   std::string mZone;
-  std::string mOwnEngine;       ///< address; its companion asks nobody else
+  std::string mLocalEngine;     ///< address; its companion asks nobody else
   std::uint16_t mWatchPort = 0; ///< at which watchers answer
   std::vector<std::string> mPrefixes; ///< that are asked for
   std::string mConfirmed; ///< prefix whose confirmations are waited for
   /// Between two questions. What changes is heard so much later than from the
   /// store; the bounds on keys and leaving endpoints are some ten times this.
   state::Millis mAskInterval{ 600 };
-  state::Millis mAnswerTimeout{ 400 };
+  state::Millis mResponseTimeout{ 400 };
   /// A watcher whose word of the configuration is older has lost the store.
-  state::Millis mMostAge{ 1600 };
+  state::Millis mMaxAge{ 1600 };
   /// After all watchers failed, the store is asked itself for so long.
-  state::Millis mOwnTime{ 3000 };
+  state::Millis mFallbackDuration{ 3000 };
   state::ZoneWatcherSettings mWatchers;
 };
 
@@ -58,33 +58,33 @@
 ///
 /// Each process that followed the store itself made a call a second and one a
 /// change: 15,580 calls in 58 s for 283 processes.
-/// Thread safety: none; used on the thread of its context, but for IsServed and
-/// Answers.
-class ZonePlatform final : public Platform
+/// Thread safety: none; used on the thread of its context, but for IsMirrored
+/// and Answers.
+class MirroredPlatform final : public Platform
 {
 public:
   /// @param aStore  outlives this, as do clock and log
-  ZonePlatform(transport::asio::io_context& aContext,
-               const ZonePlatformSettings& aSettings,
-               Platform& aStore,
-               const state::Clock& aClock,
-               EventLog& aLog);
+  MirroredPlatform(transport::asio::io_context& aContext,
+                   const MirroredPlatformSettings& aSettings,
+                   Platform& aStore,
+                   const state::Clock& aClock,
+                   EventLog& aLog);
 
   /// Begins to ask watchers, once any are known.
   void Start();
 
   /// Takes the endpoints from which the watchers are known.
-  void TakeEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
+  void ApplyEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
 
   /// Notes that others ask this process, which therefore follows the store
   /// itself.
-  void NoteAsked();
+  void NoteRequest();
 
   /// Whether others asked it lately.
-  bool IsAsked() const;
+  bool HasRecentRequests() const;
 
   /// Whether a watcher answers for the store; may be asked from any thread.
-  bool IsServed() const { return mIsServed.load(); }
+  bool IsMirrored() const { return mIsServed.load(); }
 
   /// Calls that reached the store itself, of one kind; may be asked from any
   /// thread.
@@ -94,10 +94,10 @@
   }
 
   /// Answers of watchers that were taken; may be asked from any thread.
-  std::uint64_t Answers() const { return mAnswers.load(); }
+  std::uint64_t MirrorResponses() const { return mAnswers.load(); }
 
   transport::Task<state::Result<ObjectList>> List(std::string aPrefix) override;
-  transport::Task<state::Result<ObjectList>> Glance(
+  transport::Task<state::Result<ObjectList>> ListCached(
     std::string aPrefix) override;
   transport::Task<state::Result<std::optional<state::RawObject>>> Read(
     std::string aKey) override;
@@ -108,7 +108,7 @@
   transport::Task<state::Result<void>> Delete(
     std::string aKey,
     std::uint64_t aIfRevision) override;
-  transport::Task<state::Result<WatchAnswer>> Watch(
+  transport::Task<state::Result<WatchResult>> Watch(
     std::string aPrefix,
     std::uint64_t aAfter,
     state::Millis aWait) override;
@@ -130,19 +130,19 @@
   void Count(StoreCall aCall);
   transport::Task<void> Run();
   /// Asks one watcher after the other, until one serves.
-  transport::Task<AskOutcome> AskWatchers();
+  transport::Task<AskOutcome> QueryWatchers();
   transport::Task<AskOutcome> Ask(std::string aAddress);
-  bool IsFresh(const state::MirrorPage& aPage) const;
+  bool IsFresh(const state::MirrorUpdate& aPage) const;
   void SetServed(bool aIsServed);
   /// Ends the waits of all watches that wait here.
   void WakeWaiting();
   transport::Task<void> WaitForNews(state::TimePoint aUntil);
   bool IsServedFor(std::string_view aPrefix) const;
-  SecondHand Source(const state::MirroredTopic& aTopic) const;
+  MirrorFreshness Source(const state::MirroredTopic& aTopic) const;
   std::optional<ObjectList> ListHere(std::string_view aPrefix) const;
 
   transport::asio::io_context& mContext;
-  ZonePlatformSettings mSettings;
+  MirroredPlatformSettings mSettings;
   Platform& mStore;
   const state::Clock& mClock;
   EventLog& mLog;
--- a/packages/coordination/include/shuntjunction/coordination/part_follower.h
+++ b/packages/coordination/include/shuntjunction/coordination/part_follower.h
@@ -19,18 +19,18 @@
 public:
   /// Takes the names of parts that are kept now, and of those that are not, in
   /// a life of their holder.
-  using Taker = std::function<void(state::EndpointLife aLife,
-                                   const std::vector<std::string>& aGained,
-                                   const std::vector<std::string>& aLost)>;
+  using Handler = std::function<void(state::EndpointIncarnation aLife,
+                                     const std::vector<std::string>& aGained,
+                                     const std::vector<std::string>& aLost)>;
 
   /// @param aSource  outlives the follower, as does the log
   /// @param aTake    called with each group of changes
-  /// @param aClear   called when nothing is kept any more
+  /// @param aOnClear   called when nothing is kept any more
   PartFollower(transport::asio::io_context& aContext,
                EngineControl& aSource,
                EventLog& aLog,
-               Taker aTake,
-               std::function<void()> aClear);
+               Handler aTake,
+               std::function<void()> aOnClear);
 
   /// Begins to follow.
   void Start();
@@ -42,8 +42,8 @@
   transport::asio::io_context& mContext;
   EngineControl& mSource;
   EventLog& mLog;
-  Taker mTake;
-  std::function<void()> mClear;
+  Handler mTake;
+  std::function<void()> mOnClear;
   std::uint64_t mEpoch = 0;
   std::uint64_t mNext = 0;
 };
--- a/packages/coordination/include/shuntjunction/coordination/part_store_teller.h
+++ b/packages/coordination/include/shuntjunction/coordination/part_store_reporter.h
@@ -14,8 +14,8 @@
 /// Tells relays what the part store keeps.
 namespace shuntjunction::coordination {
 
-/// What a PartStoreTeller is built from; all parts outlive it.
-struct PartStoreTellerParts
+/// What a PartStoreReporter is built from; all parts outlive it.
+struct PartStoreReporterDependencies
 {
   transport::asio::io_context& mContext;
   const FleetSettings& mSettings;
@@ -33,16 +33,16 @@
 /// companions a store do, chosen by a function of the list that all compute
 /// alike.
 /// Thread safety: none; used on the thread of its context.
-class PartStoreTeller
+class PartStoreReporter
 {
 public:
-  explicit PartStoreTeller(const PartStoreTellerParts& aParts);
+  explicit PartStoreReporter(const PartStoreReporterDependencies& aParts);
 
   /// Begins to look whether it is its turn.
   void Start();
 
   /// Takes a newer view of the platform's objects.
-  void TakeView(std::shared_ptr<const RelayView> aView);
+  void ApplyView(std::shared_ptr<const RelayView> aView);
 
 private:
   transport::Task<void> Run();
@@ -53,7 +53,7 @@
   /// when its own is not listed.
   std::optional<std::size_t> Rank() const;
 
-  PartStoreTellerParts mParts;
+  PartStoreReporterDependencies mParts;
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   std::unique_ptr<EngineControl> mStore;
   std::unique_ptr<PartFollower> mFollower;
--- a/packages/coordination/include/shuntjunction/coordination/peer_link.h
+++ b/packages/coordination/include/shuntjunction/coordination/peer_link.h
@@ -31,11 +31,12 @@
 };
 
 /// The caller went away.
-struct CallerGone
+struct ClientDisconnected
 {};
 
 /// What can happen to an attempt.
-using AttemptEvent = std::variant<protocol::Message, LinkDown, CallerGone>;
+using AttemptEvent =
+  std::variant<protocol::Message, LinkDown, ClientDisconnected>;
 
 /// Where the events of an attempt go.
 using AttemptMailbox = transport::Mailbox<AttemptEvent>;
@@ -91,7 +92,7 @@
   void Send(const protocol::Message& aMessage);
 
   /// A version to put into a message: zero when the companion was told it.
-  std::uint64_t VersionNews(std::uint64_t aVersion);
+  std::uint64_t UnannouncedVersion(std::uint64_t aVersion);
 
   /// Whether it is open.
   bool IsOpen() const { return mChannel && mChannel->IsOpen(); }
--- a/packages/coordination/include/shuntjunction/coordination/platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/platform.h
@@ -15,7 +15,7 @@
 namespace shuntjunction::coordination {
 
 /// What another process told with an answer that it gave for the platform.
-struct SecondHand
+struct MirrorFreshness
 {
   /// All that the platform knew by then is in the answer.
   state::TimePoint mAsOf;
@@ -27,16 +27,18 @@
 {
   std::uint64_t mRevision = 0;
   std::vector<state::RawObject> mObjects;
-  std::optional<SecondHand> mSecondHand; ///< empty: the platform's own answer
+  std::optional<MirrorFreshness>
+    mMirrorFreshness; ///< empty: the platform's own answer
 };
 
 /// What a watch brought.
-struct WatchAnswer
+struct WatchResult
 {
   std::uint64_t mRevision = 0;
   std::vector<state::RawObject> mChanges; ///< deleted ones have no value
   bool mIsGap = false;                    ///< changes were lost: list again
-  std::optional<SecondHand> mSecondHand;  ///< empty: the platform's own answer
+  std::optional<MirrorFreshness>
+    mMirrorFreshness; ///< empty: the platform's own answer
 };
 
 /// The list of live and leaving instances.
@@ -79,7 +81,7 @@
 
   /// The same from a copy that may be some seconds old, where the platform has
   /// one that costs less; otherwise as List.
-  virtual transport::Task<state::Result<ObjectList>> Glance(
+  virtual transport::Task<state::Result<ObjectList>> ListCached(
     std::string aPrefix) = 0;
 
   /// One object; empty when there is none.
@@ -99,7 +101,7 @@
     std::uint64_t aIfRevision) = 0;
 
   /// Waits for changes below a prefix after a revision.
-  virtual transport::Task<state::Result<WatchAnswer>>
+  virtual transport::Task<state::Result<WatchResult>>
   Watch(std::string aPrefix, std::uint64_t aAfter, state::Millis aWait) = 0;
 
   /// Waits for a list of instances newer than a revision.
--- a/packages/coordination/include/shuntjunction/coordination/quarantine_keeper.h
+++ b/packages/coordination/include/shuntjunction/coordination/quarantine_writer.h
@@ -12,8 +12,8 @@
 /// Keeps in the platform's store which requests are quarantined.
 namespace shuntjunction::coordination {
 
-/// What a QuarantineKeeper is built from; all parts outlive it.
-struct QuarantineKeeperParts
+/// What a QuarantineWriter is built from; all parts outlive it.
+struct QuarantineWriterDependencies
 {
   transport::asio::io_context& mContext;
   Platform& mPlatform;
@@ -29,19 +29,20 @@
 /// new one is written, so that the store holds no more of them than were alive
 /// at once, and some.
 /// Thread safety: none; used on the thread of its context.
-class QuarantineKeeper
+class QuarantineWriter
 {
 public:
-  explicit QuarantineKeeper(const QuarantineKeeperParts& aParts);
-  ~QuarantineKeeper();
-  QuarantineKeeper(const QuarantineKeeper&) = delete;
-  QuarantineKeeper& operator=(const QuarantineKeeper&) = delete;
+  explicit QuarantineWriter(const QuarantineWriterDependencies& aParts);
+  ~QuarantineWriter();
+  QuarantineWriter(const QuarantineWriter&) = delete;
+  QuarantineWriter& operator=(const QuarantineWriter&) = delete;
 
   /// Keeps that a request is refused for a time from now on.
-  void Keep(const state::RequestDigest& aRequest, state::Millis aFor);
+  void StoreQuarantine(const state::RequestDigest& aRequest,
+                       state::Millis aFor);
 
   /// Takes what the store holds.
-  void TakeView(std::shared_ptr<const RelayView> aView);
+  void ApplyView(std::shared_ptr<const RelayView> aView);
 
 private:
   struct Shared;
--- a/packages/coordination/include/shuntjunction/coordination/relay.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay.h
@@ -14,7 +14,7 @@
 namespace shuntjunction::coordination {
 
 /// What a relay is built from; all parts outlive it.
-struct RelayParts
+struct RelayDependencies
 {
   transport::asio::io_context& mContext;
   const FleetSettings& mSettings;
@@ -27,22 +27,22 @@
   /// Tells the other relays of a part that the engine of an address reads;
   /// empty: they are not told.
   std::function<void(const std::string&, const protocol::PartReading&)>
-    mTellPart = {};
+    mSendPartReading = {};
   /// Tells what of this relay waits at the engine of an address, and a part of
   /// which it wants news, if any; empty: it is not told.
   std::function<
     void(const std::string&, const state::WaitingTokens&, const std::string&)>
-    mTellWaiting = {};
+    mReportWaiting = {};
   /// Tells the other relays of crashes of an endpoint, which the number names;
   /// empty: they are not told.
   std::function<void(std::uint64_t, const protocol::CrashReports&)>
-    mTellCrashes = {};
+    mSendCrashReports = {};
   /// Asks the companion of a host for a part of a team's limit; empty: no
   /// companion can be asked, and teams with limits are refused.
   std::function<transport::Task<std::optional<state::ShareGrant>>(
     std::string,
     state::ShareAsk)>
-    mAskShare = {};
+    mRequestShare = {};
   /// Gives back to it what was not used.
   std::function<void(const std::string&, const protocol::LimitReturn&)>
     mReturnShare = {};
@@ -51,16 +51,16 @@
   std::function<transport::Task<std::optional<state::PlaceGrant>>(
     std::string,
     state::PlaceAsk)>
-    mAskPlace = {};
+    mRequestPermit = {};
   /// Gives back to it a place whose request was not sent.
-  std::function<void(const std::string&, state::LimitHash)> mReturnPlace = {};
+  std::function<void(const std::string&, state::LimitHash)> mReturnPermit = {};
   /// Reports to it what an endpoint's answer said of its rate.
   std::function<void(const std::string&, const state::RateReport&)>
     mReportRate = {};
   /// Keeps in the platform's store that a request is quarantined, and for how
   /// long; empty: it is not kept.
   std::function<void(const state::RequestDigest&, state::Millis)>
-    mKeepQuarantine = {};
+    mStoreQuarantine = {};
 };
 
 /// The relay of one process.
@@ -69,7 +69,7 @@
 class Relay
 {
 public:
-  explicit Relay(const RelayParts& aParts);
+  explicit Relay(const RelayDependencies& aParts);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
@@ -78,22 +78,22 @@
   state::Result<state::Address> Start();
 
   /// Takes a newer view of the platform's objects.
-  void TakeView(std::shared_ptr<const RelayView> aView);
+  void ApplyView(std::shared_ptr<const RelayView> aView);
 
   /// Takes what an engine's companion said.
-  void TakeNews(const protocol::EngineNews& aNews);
+  void ApplyNews(const protocol::EngineNews& aNews);
 
   /// Takes that the machine of a host ended its companion's connection.
-  void TakeNewsEnd(const std::string& aHost);
+  void HandleNewsConnectionEnd(const std::string& aHost);
 
   /// Takes what another relay told of a part.
-  void TakePartReading(const protocol::PartReading& aReading);
+  void ApplyPartReading(const protocol::PartReading& aReading);
 
   /// Takes what other relays saw of crashes.
-  void TakeCrashReports(const protocol::CrashReports& aReports);
+  void ApplyCrashReports(const protocol::CrashReports& aReports);
 
   /// Takes what the keeper of an endpoint's rate tells all relays.
-  void TakeRateNews(const state::RateNews& aNews);
+  void ApplyRateNews(const state::RateNews& aNews);
 
   /// Brings the gauges among the metrics up to date.
   void SetGauges();
--- a/packages/coordination/include/shuntjunction/coordination/relay_codec.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_codec.h
@@ -18,7 +18,7 @@
 namespace shuntjunction::coordination {
 
 /// What a caller's request says of itself.
-struct CallFacts
+struct CallInfo
 {
   std::string mRequestId;
   std::optional<state::Millis> mDeadline; ///< from its arrival
@@ -35,7 +35,7 @@
 };
 
 /// What the relay adds when it hands a request over to an endpoint.
-struct HandOver
+struct ForwardingInfo
 {
   state::Millis mTimeLeft{ 0 };
   std::string mEndpointId; ///< any other endpoint must refuse the request
@@ -49,7 +49,7 @@
 };
 
 /// What an endpoint's answer says of itself.
-struct AnswerFacts
+struct AnswerInfo
 {
   std::string mRequestId;  ///< that it answers
   bool mIsSigned = false;  ///< by the endpoint that made it
@@ -69,22 +69,22 @@
   virtual ~RelayCodec() = default;
 
   /// Reads a caller's request.
-  virtual CallFacts ReadCall(const transport::RelayRequest& aRequest) const = 0;
+  virtual CallInfo ReadCall(const transport::RelayRequest& aRequest) const = 0;
 
   /// Whether a caller's field may reach an endpoint; false for those that only
   /// the relay sets.
-  virtual bool IsCallersToSet(std::string_view aName) const = 0;
+  virtual bool MayForwardField(std::string_view aName) const = 0;
 
   /// Adds the relay's own fields to a header, each line ended.
-  virtual void AppendHandOver(const HandOver& aHandOver,
-                              std::string& aHeader) const = 0;
+  virtual void AppendForwardingFields(const ForwardingInfo& aHandOver,
+                                      std::string& aHeader) const = 0;
 
   /// Adds the id of the request to the header of an answer of the relay's own.
   virtual void AppendRequestId(std::string_view aId,
                                std::string& aHeader) const = 0;
 
   /// Reads an endpoint's answer.
-  virtual AnswerFacts ReadAnswer(
+  virtual AnswerInfo ReadAnswer(
     const transport::RelayAnswer& aAnswer) const = 0;
 };
 
@@ -128,7 +128,7 @@
     std::string_view aText) const = 0;
 
   /// Reads the weights that were named for a model.
-  virtual state::Result<state::NamedWeights> ReadWeights(
+  virtual state::Result<state::LatestWeights> ReadWeights(
     std::string_view aKey,
     std::string_view aText) const = 0;
 
--- a/packages/coordination/include/shuntjunction/coordination/relay_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_feed.h
@@ -22,16 +22,16 @@
 namespace shuntjunction::coordination {
 
 /// Versions of a model's weights that were named while this process lived.
-struct NamedWeightsNews
+struct WeightsHistory
 {
   /// One version.
-  struct Naming
+  struct VersionRecord
   {
     std::uint64_t mVersion = 0;
-    state::TimePoint mKnownAt; ///< when this process learned of it
+    state::TimePoint mLearnedAt; ///< when this process learned of it
   };
 
-  std::vector<Naming> mNamings; ///< rising; the last is the newest
+  std::vector<VersionRecord> mVersions; ///< rising; the last is the newest
   /// Ids of the engines in the order in which they load the newest, as of when
   /// it became known, so that no load changes the turns of the others.
   std::vector<std::string> mLoadOrder;
@@ -39,13 +39,13 @@
   /// The newest version; 0 when none was named.
   std::uint64_t Newest() const
   {
-    return mNamings.empty() ? 0 : mNamings.back().mVersion;
+    return mVersions.empty() ? 0 : mVersions.back().mVersion;
   }
 
   /// When the newest version became known; the epoch when none was named.
-  state::TimePoint NewestKnownAt() const
+  state::TimePoint NewestLearnedAt() const
   {
-    return mNamings.empty() ? state::TimePoint() : mNamings.back().mKnownAt;
+    return mVersions.empty() ? state::TimePoint() : mVersions.back().mLearnedAt;
   }
 
   /// When a version was superseded; empty while it is the newest.
@@ -68,13 +68,13 @@
   std::shared_ptr<const state::RelayConfig> mConfig =
     std::make_shared<const state::RelayConfig>();
   std::vector<state::EndpointInfo> mEndpoints;
-  std::map<std::string, NamedWeightsNews, std::less<>> mWeights;
+  std::map<std::string, WeightsHistory, std::less<>> mWeights;
   QuarantinedRequests mQuarantined;
 };
 
 /// Hosts of the companions, one beside each engine, with their zones.
 std::map<std::string, std::string>
-CompanionsOf(const std::vector<state::EndpointInfo>& aEndpoints);
+CompanionZones(const std::vector<state::EndpointInfo>& aEndpoints);
 
 /// Settings of a RelayFeed.
 struct RelayFeedSettings
@@ -106,7 +106,7 @@
 class RelayFeed
 {
 public:
-  using Taker = std::function<void(std::shared_ptr<const RelayView>)>;
+  using Handler = std::function<void(std::shared_ptr<const RelayView>)>;
 
   /// @param aMirror  gets all that the store says, for others
   /// @param aTake  called on the feed's thread with each new view
@@ -118,7 +118,7 @@
             const state::Clock& aClock,
             EventLog& aLog,
             state::ObjectMirror& aMirror,
-            Taker aTake);
+            Handler aTake);
   ~RelayFeed();
   RelayFeed(const RelayFeed&) = delete;
   RelayFeed& operator=(const RelayFeed&) = delete;
@@ -151,10 +151,10 @@
   transport::Task<void> Follow(Topic& aTopic);
   transport::Task<state::Result<void>> ListOnce(Topic& aTopic);
   transport::Task<state::Result<void>> WatchOnce(Topic& aTopic);
-  transport::Task<void> ExpireLapsed();
+  transport::Task<void> ExpireEndpoints();
   /// Looks from time to time whether the store answers and whether the watch of
   /// the weights has missed any; makes the watches anew if so.
-  transport::Task<void> CheckPulse();
+  transport::Task<void> CheckStoreLiveness();
   bool HasNewerWeights(const ObjectList& aList) const;
   /// Whether a topic asks, for all, whether a store that was lost is back. A
   /// whole watch would tell so only at its end; the others wait for the word.
@@ -162,29 +162,29 @@
   /// Whether a topic is still followed.
   bool IsFollowed(const Topic& aTopic) const;
   /// Takes who gave an answer; the time as of which it is true.
-  state::TimePoint NoteSource(const std::optional<SecondHand>& aSource,
+  state::TimePoint NoteSource(const std::optional<MirrorFreshness>& aSource,
                               state::TimePoint aAskedAt);
   /// Tells the mirror how far the lists are known.
-  void TellMirror();
+  void UpdateMirror();
   /// Takes the store's revision from a topic's answer.
   void NoteRevision(Topic& aTopic,
                     std::uint64_t aRevision,
                     state::TimePoint aAskedAt);
   /// Takes all objects of a topic, for others too; whether it brought anything
   /// new.
-  bool TakeList(Topic& aTopic, const ObjectList& aList);
-  void TakeChange(Topic& aTopic, const state::RawObject& aChange);
+  bool MergeList(Topic& aTopic, const ObjectList& aList);
+  void MergeChange(Topic& aTopic, const state::RawObject& aChange);
   /// Reads the lists anew whose watches do not tell of what the store has.
   void CheckLists();
   transport::Task<void> CheckList(Topic& aTopic);
-  transport::Task<void> ReadListAnew(Topic& aTopic);
-  void NoteTrouble(Topic& aTopic, const state::Error& aError);
+  transport::Task<void> RereadList(Topic& aTopic);
+  void NoteCallFailure(Topic& aTopic, const state::Error& aError);
   void NoteSuccess(Topic& aTopic);
   /// Ends the calls that wait since before the last trouble: a store that fell
   /// silent may never answer them, though it answers new ones.
   void AbandonOldCalls();
   /// @return whether it is newer than the one in force
-  bool TakeConfig(const state::RawObject& aObject);
+  bool ApplyConfig(const state::RawObject& aObject);
   /// Reads an endpoint; an entry of another writer names none.
   std::optional<state::EndpointInfo> ReadEndpoint(
     const state::RawObject& aObject);
@@ -194,13 +194,13 @@
                     const state::Error& aError);
   /// Endpoints of services that the configuration names.
   std::vector<state::EndpointInfo> KnownEndpoints() const;
-  void TakeEndpoint(const state::RawObject& aObject);
+  void ApplyEndpoint(const state::RawObject& aObject);
   /// @return whether it is newer than what is known
-  bool TakeWeights(const state::RawObject& aObject);
+  bool ApplyWeights(const state::RawObject& aObject);
   /// Takes a request that is quarantined, or no more; whether that is news.
-  bool TakeQuarantined(const state::RawObject& aObject);
+  bool ApplyQuarantined(const state::RawObject& aObject);
   /// @return whether it brought anything new
-  bool TakeEndpointList(const std::vector<state::RawObject>& aObjects);
+  bool ApplyEndpointList(const std::vector<state::RawObject>& aObjects);
   void Publish();
 
   transport::asio::io_context& mContext;
@@ -210,7 +210,7 @@
   const state::Clock& mClock;
   EventLog& mLog;
   state::ObjectMirror& mMirror;
-  Taker mTake;
+  Handler mTake;
   std::unique_ptr<Topic> mConfigTopic;
   std::unique_ptr<Topic> mEndpointTopic;
   std::unique_ptr<Topic> mWeightsTopic;
--- a/packages/coordination/include/shuntjunction/coordination/relay_settings.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_settings.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "shuntjunction/state/load_turns.h"
+#include "shuntjunction/state/load_schedule.h"
 #include "shuntjunction/state/relay_choice.h"
 #include "shuntjunction/state/settings.h"
 #include "shuntjunction/state/window_budget.h"
@@ -57,7 +57,7 @@
   std::int64_t mMemoryBytes = 256L * 1024 * 1024; ///< of this process
   std::int64_t mDescriptors = 4096; ///< that this process may hold
   FleetBounds mBounds;
-  state::LoadTurnSettings mLoadTurns;
+  state::LoadScheduleSettings mLoadSchedule;
   state::RelayChoiceSettings mChoice;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/router.h
+++ b/packages/coordination/include/shuntjunction/coordination/router.h
@@ -50,7 +50,7 @@
          const state::Settings& aSettings,
          const state::Clock& aClock,
          Metrics& aMetrics,
-         PeerSnapshotTaker aOnPeerSnapshot);
+         PeerSnapshotHandler aOnPeerSnapshot);
   ~Router() override;
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
@@ -59,7 +59,7 @@
   void Start();
 
   /// Takes a configuration and a list of instances that came into force.
-  void TakeConfig(PublishedConfig aConfig);
+  void ApplyConfig(PublishedConfig aConfig);
 
   /// Whether a configuration and an endpoint are known.
   bool IsReady() const;
@@ -115,7 +115,7 @@
   const state::Settings& mSettings;
   const state::Clock& mClock;
   Metrics& mMetrics;
-  PeerSnapshotTaker mOnPeerSnapshot;
+  PeerSnapshotHandler mOnPeerSnapshot;
   Log mLog;
   PublishedConfig mConfig;
   std::size_t mRouters = 1;
--- a/packages/coordination/include/shuntjunction/coordination/engine_gate.h
+++ b/packages/coordination/include/shuntjunction/coordination/throttled_engine_control.h
@@ -13,15 +13,15 @@
 /// A call that comes during one waits for its end. A drain does not hold calls
 /// back: reports and orders go on until the engine has ended.
 /// Thread safety: none; used on one thread.
-class EngineGate final : public EngineControl
+class ThrottledEngineControl final : public EngineControl
 {
 public:
   /// @param aClock, aLog  outlive this
-  EngineGate(std::unique_ptr<EngineControl> aEngine,
-             const state::Clock& aClock,
-             EventLog& aLog);
+  ThrottledEngineControl(std::unique_ptr<EngineControl> aEngine,
+                         const state::Clock& aClock,
+                         EventLog& aLog);
 
-  void OnNotice(NoticeTaker aTake) override;
+  void SetNoticeHandler(NoticeHandler aTake) override;
   transport::Task<state::Result<EngineReport>> Report() override;
   transport::Task<state::Result<PartChanges>> Changes(
     std::uint64_t aSince,
@@ -36,7 +36,7 @@
   const state::Clock& mClock;
   EventLog& mLog;
   state::EndpointAvailability mAvailability;
-  NoticeTaker mTake;
+  NoticeHandler mTake;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/weights_keeper.h
+++ b/packages/coordination/include/shuntjunction/coordination/weights_controller.h
@@ -14,8 +14,8 @@
 /// Brings the engine beside a companion to the weights that were named.
 namespace shuntjunction::coordination {
 
-/// What a WeightsKeeper is built from; all parts outlive it.
-struct WeightsKeeperParts
+/// What a WeightsController is built from; all parts outlive it.
+struct WeightsControllerDependencies
 {
   transport::asio::io_context& mContext;
   const FleetSettings& mSettings;
@@ -32,28 +32,28 @@
 /// Fencing numbers start from the revision of an object that each life of the
 /// process writes first, so that they never fall although nothing is kept.
 /// Thread safety: none; used on the thread of its context.
-class WeightsKeeper
+class WeightsController
 {
 public:
-  explicit WeightsKeeper(const WeightsKeeperParts& aParts);
-  WeightsKeeper(const WeightsKeeper&) = delete;
-  WeightsKeeper& operator=(const WeightsKeeper&) = delete;
+  explicit WeightsController(const WeightsControllerDependencies& aParts);
+  WeightsController(const WeightsController&) = delete;
+  WeightsController& operator=(const WeightsController&) = delete;
 
   /// Begins to keep the engine's weights.
   void Start();
 
   /// Takes a newer view of the platform's objects.
-  void TakeView(std::shared_ptr<const RelayView> aView);
+  void ApplyView(std::shared_ptr<const RelayView> aView);
 
   /// Takes what the engine just said of itself.
-  void TakeReport(const EngineReport& aReport);
+  void ApplyReport(const EngineReport& aReport);
 
 private:
   /// What the engine is to load, and when.
   struct Task
   {
     std::string mEndpointId;
-    state::NamedWeights mWeights;
+    state::LatestWeights mWeights;
     state::TimePoint mFrom;
   };
 
@@ -68,7 +68,7 @@
   transport::Task<void> Carry(Task aTask);
   transport::Task<void> WaitFor(state::Millis aTime);
 
-  WeightsKeeperParts mParts;
+  WeightsControllerDependencies mParts;
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   transport::Timer mWake;
   std::uint64_t mFence = 0;
--- a/packages/coordination/include/shuntjunction/coordination/zone_watch.h
+++ b/packages/coordination/include/shuntjunction/coordination/zone_mirror.h
@@ -5,7 +5,7 @@
 #include "shuntjunction/coordination/relay_feed.h"
 #include "shuntjunction/coordination/relay_settings.h"
 #include "shuntjunction/coordination/snapshot_server.h"
-#include "shuntjunction/coordination/zone_platform.h"
+#include "shuntjunction/coordination/mirrored_platform.h"
 
 /// How a process of a zone and the zone's watchers tell each other of the
 /// store.
@@ -14,25 +14,26 @@
 /// What a process's settings say of it.
 ///
 /// Thread safety: pure.
-ZonePlatformSettings
-ZoneSettingsOf(const FleetSettings& aSettings, const StoreCodec& aCodec);
+MirroredPlatformSettings
+MakeMirroredPlatformSettings(const FleetSettings& aSettings,
+                             const StoreCodec& aCodec);
 
 /// A process's end: the store as its watchers tell it, and answers to those who
 /// ask this process.
 ///
 /// Thread safety: none; used on the thread of its context.
-class ZoneWatch
+class ZoneMirror
 {
 public:
   /// @param aStore  outlives this, as do clock and log
-  ZoneWatch(transport::asio::io_context& aContext,
-            const ZonePlatformSettings& aSettings,
-            Platform& aStore,
-            const state::Clock& aClock,
-            EventLog& aLog);
+  ZoneMirror(transport::asio::io_context& aContext,
+             const MirroredPlatformSettings& aSettings,
+             Platform& aStore,
+             const state::Clock& aClock,
+             EventLog& aLog);
 
   /// The store, by a watcher or itself; for all that this process reads there.
-  ZonePlatform& Store() { return mPlatform; }
+  MirroredPlatform& Store() { return mPlatform; }
 
   /// Where this process's feed tells what the store holds.
   state::ObjectMirror& Mirror() { return mMirror; }
@@ -49,7 +50,7 @@
                                       RelayFeed& aFeed);
 
   /// Takes the endpoints from which the watchers are known.
-  void TakeEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
+  void ApplyEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
 
 private:
   protocol::SnapshotReply Answer(RelayFeed& aFeed,
@@ -61,7 +62,7 @@
   const state::Clock& mClock;
   EventLog& mLog;
   state::ObjectMirror mMirror;
-  ZonePlatform mPlatform;
+  MirroredPlatform mPlatform;
   std::unique_ptr<SnapshotServer> mServer;
 };
 
--- a/packages/coordination/src/admin.cpp
+++ b/packages/coordination/src/admin.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-Admin::Admin(AdminParts aParts)
+Admin::Admin(AdminDependencies aParts)
   : mParts(std::move(aParts))
 {
 }
--- a/packages/coordination/src/answer_sink.cpp
+++ b/packages/coordination/src/answer_sink.cpp
@@ -15,7 +15,7 @@
 class StreamSink final : public AnswerSink
 {
 public:
-  StreamSink(HttpExchange& aExchange, AnswerHead aHead, bool aWantsUsage)
+  StreamSink(HttpExchange& aExchange, ResponseMetadata aHead, bool aWantsUsage)
     : mExchange(aExchange)
     , mHead(std::move(aHead))
     , mWantsUsage(aWantsUsage)
@@ -72,15 +72,15 @@
   }
 
   HttpExchange& mExchange;
-  AnswerHead mHead;
+  ResponseMetadata mHead;
   bool mWantsUsage;
   bool mIsBegun = false;
 };
 
-class WholeSink final : public AnswerSink
+class BufferedSink final : public AnswerSink
 {
 public:
-  WholeSink(HttpExchange& aExchange, AnswerHead aHead)
+  BufferedSink(HttpExchange& aExchange, ResponseMetadata aHead)
     : mExchange(aExchange)
     , mHead(std::move(aHead))
   {
@@ -96,7 +96,7 @@
   {
     HttpResponse response;
     response.mFields = { { std::string(kRequestIdField), mHead.mId } };
-    response.mBody = WriteWhole(mHead, mText, aFinished);
+    response.mBody = WriteFullResponse(mHead, mText, aFinished);
     co_await mExchange.Respond(std::move(response));
   }
 
@@ -107,7 +107,7 @@
 
 private:
   HttpExchange& mExchange;
-  AnswerHead mHead;
+  ResponseMetadata mHead;
   std::string mText;
 };
 
@@ -172,15 +172,17 @@
 }
 
 std::unique_ptr<AnswerSink>
-MakeStreamSink(HttpExchange& aExchange, AnswerHead aHead, bool aWantsUsage)
+MakeStreamSink(HttpExchange& aExchange,
+               ResponseMetadata aHead,
+               bool aWantsUsage)
 {
   return std::make_unique<StreamSink>(aExchange, std::move(aHead), aWantsUsage);
 }
 
 std::unique_ptr<AnswerSink>
-MakeWholeSink(HttpExchange& aExchange, AnswerHead aHead)
+MakeBufferedSink(HttpExchange& aExchange, ResponseMetadata aHead)
 {
-  return std::make_unique<WholeSink>(aExchange, std::move(aHead));
+  return std::make_unique<BufferedSink>(aExchange, std::move(aHead));
 }
 
 std::unique_ptr<AnswerSink>
--- a/packages/coordination/src/answer_sink.h
+++ b/packages/coordination/src/answer_sink.h
@@ -32,12 +32,12 @@
 /// An answer as server-sent events, each sent as it comes.
 std::unique_ptr<AnswerSink>
 MakeStreamSink(transport::HttpExchange& aExchange,
-               AnswerHead aHead,
+               ResponseMetadata aHead,
                bool aWantsUsage);
 
 /// An answer of a model as one JSON object.
 std::unique_ptr<AnswerSink>
-MakeWholeSink(transport::HttpExchange& aExchange, AnswerHead aHead);
+MakeBufferedSink(transport::HttpExchange& aExchange, ResponseMetadata aHead);
 
 /// The answer of a plain service, passed on as it came.
 std::unique_ptr<AnswerSink>
--- a/packages/coordination/src/backend_engine.cpp
+++ b/packages/coordination/src/backend_engine.cpp
@@ -88,7 +88,7 @@
 }
 
 /// Reads one answer's events.
-class EngineAnswer final : public BackendAnswer
+class EngineAnswer final : public BackendResponse
 {
 public:
   EngineAnswer(std::unique_ptr<HttpStream> aStream,
@@ -245,7 +245,8 @@
 
   bool IsEngine() const override { return true; }
 
-  Task<Result<std::unique_ptr<BackendAnswer>>> Open(BackendCall aCall) override
+  Task<Result<std::unique_ptr<BackendResponse>>> Open(
+    BackendCall aCall) override
   {
     HttpRequest request;
     request.mMethod = "POST";
@@ -272,7 +273,7 @@
       co_return Fail(
         code, "engine.open", mClient.Peer().Text(), "status " + status);
     }
-    std::unique_ptr<BackendAnswer> answer = std::make_unique<EngineAnswer>(
+    std::unique_ptr<BackendResponse> answer = std::make_unique<EngineAnswer>(
       std::move(*stream), aCall.mSubmit.mResumeOffset, mClient.Peer().Text());
     co_return answer;
   }
@@ -322,7 +323,7 @@
       static_cast<std::uint64_t>(reader.Integer("incarnation", 1, INT64_MAX));
     const auto* events = reader.Find("events");
     if (events == nullptr || !events->is_array()) {
-      reader.Note("events", "absent", "a list of events");
+      reader.AddError("events", "absent", "a list of events");
     } else {
       for (const auto& item : events->as_array()) {
         found.mEvents.push_back(ReadEvent(item, reader));
--- a/packages/coordination/src/backend_service.cpp
+++ b/packages/coordination/src/backend_service.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view kHealthTarget = "/healthz";
 
 /// Reads a service's whole answer.
-class ServiceAnswer final : public BackendAnswer
+class ServiceAnswer final : public BackendResponse
 {
 public:
   ServiceAnswer(std::unique_ptr<HttpStream> aStream,
@@ -76,7 +76,8 @@
 
   bool IsEngine() const override { return false; }
 
-  Task<Result<std::unique_ptr<BackendAnswer>>> Open(BackendCall aCall) override
+  Task<Result<std::unique_ptr<BackendResponse>>> Open(
+    BackendCall aCall) override
   {
     const auto& submit = aCall.mSubmit;
     HttpRequest request;
@@ -97,7 +98,7 @@
     if (!stream) {
       co_return tl::unexpected(stream.error());
     }
-    std::unique_ptr<BackendAnswer> answer = std::make_unique<ServiceAnswer>(
+    std::unique_ptr<BackendResponse> answer = std::make_unique<ServiceAnswer>(
       std::move(*stream), mClient.Peer().Text(), mMaxAnswerBytes);
     co_return answer;
   }
--- a/packages/coordination/src/chat_api.cpp
+++ b/packages/coordination/src/chat_api.cpp
@@ -41,7 +41,7 @@
 }
 
 json::object
-Envelope(const AnswerHead& aHead, bool aIsChunk)
+Envelope(const ResponseMetadata& aHead, bool aIsChunk)
 {
   std::string object = "text_completion";
   if (IsChat(aHead.mKind)) {
@@ -176,7 +176,7 @@
 }
 
 std::string
-WriteChunk(const AnswerHead& aHead,
+WriteChunk(const ResponseMetadata& aHead,
            std::string_view aText,
            std::string_view aFinishReason)
 {
@@ -200,7 +200,8 @@
 }
 
 std::string
-WriteUsageChunk(const AnswerHead& aHead, const protocol::Finished& aFinished)
+WriteUsageChunk(const ResponseMetadata& aHead,
+                const protocol::Finished& aFinished)
 {
   json::object chunk = Envelope(aHead, true);
   chunk["choices"] = json::array();
@@ -209,9 +210,9 @@
 }
 
 std::string
-WriteWhole(const AnswerHead& aHead,
-           std::string_view aText,
-           const protocol::Finished& aFinished)
+WriteFullResponse(const ResponseMetadata& aHead,
+                  std::string_view aText,
+                  const protocol::Finished& aFinished)
 {
   json::object choice{ { "index", 0 } };
   if (IsChat(aHead.mKind)) {
--- a/packages/coordination/src/claim_keeper.cpp
+++ b/packages/coordination/src/claim_manager.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/claim_keeper.h"
+#include "shuntjunction/coordination/claim_manager.h"
 
 #include "shuntjunction/state/claim_retention.h"
 #include "shuntjunction/state/digest.h"
@@ -41,10 +41,10 @@
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(boost::asio::io_context& aContext,
-                         Platform& aPlatform,
-                         const state::Clock& aClock,
-                         Metrics& aMetrics)
+ClaimManager::ClaimManager(boost::asio::io_context& aContext,
+                           Platform& aPlatform,
+                           const state::Clock& aClock,
+                           Metrics& aMetrics)
   : mContext(aContext)
   , mPlatform(aPlatform)
   , mClock(aClock)
@@ -54,7 +54,7 @@
 }
 
 Task<Result<std::optional<ClaimRecord>>>
-ClaimKeeper::ReadRecord(ClaimVerdict& aVerdict)
+ClaimManager::ReadRecord(ClaimResult& aVerdict)
 {
   aVerdict.mRevision = 0;
   auto object = co_await mPlatform.Read(aVerdict.mKey);
@@ -74,20 +74,20 @@
   co_return std::optional<ClaimRecord>(std::move(*record));
 }
 
-Task<ClaimVerdict>
-ClaimKeeper::Settle(std::string aTeam,
-                    std::string aKey,
-                    std::string aDigest,
-                    TimePoint aUntil)
+Task<ClaimResult>
+ClaimManager::Settle(std::string aTeam,
+                     std::string aKey,
+                     std::string aDigest,
+                     TimePoint aUntil)
 {
   ClaimMachine machine(state::RandomNonce(), std::move(aDigest));
-  ClaimVerdict verdict;
+  ClaimResult verdict;
   verdict.mKey = state::ClaimKey(aTeam, aKey);
-  verdict.mRecord = machine.Own(mClock.WallMillis());
+  verdict.mRecord = machine.NewRecord(mClock.WallMillis());
   while (machine.Step() == ClaimStep::kCreate ||
          machine.Step() == ClaimStep::kReadBack) {
     if (mClock.Now() >= aUntil) {
-      machine.OutOfTime();
+      machine.OnTimeout();
       break;
     }
     bool isAnswered = false;
@@ -96,11 +96,11 @@
         verdict.mKey, state::WriteClaimRecord(verdict.mRecord), 0);
       isAnswered = written || written.error().mCode == ErrorCode::kConflict;
       verdict.mRevision = written.value_or(0);
-      machine.CreateAnswered(written);
+      machine.OnCreateResult(written);
     } else {
       const auto found = co_await ReadRecord(verdict);
       isAnswered = found.has_value();
-      machine.ReadAnswered(found);
+      machine.OnReadResult(found);
     }
     if (!isAnswered) {
       mMetrics.Count("shuntjunction_claim_unanswered_total");
@@ -114,15 +114,15 @@
   if (verdict.mStep == ClaimStep::kUndecided && machine.MayHaveWritten()) {
     Release(verdict);
   }
-  if (verdict.mStep != ClaimStep::kHandOver &&
+  if (verdict.mStep != ClaimStep::kExecute &&
       verdict.mStep != ClaimStep::kUndecided) {
-    verdict.mRecord = machine.Found();
+    verdict.mRecord = machine.ExistingRecord();
   }
   co_return verdict;
 }
 
 Task<void>
-ClaimKeeper::Record(ClaimVerdict aVerdict)
+ClaimManager::Record(ClaimResult aVerdict)
 {
   const PendingGuard guard(mPending);
   if (aVerdict.mRecord.mBody.size() > kMaxRecordedBytes) {
@@ -155,13 +155,13 @@
 }
 
 void
-ClaimKeeper::Release(const ClaimVerdict& aVerdict)
+ClaimManager::Release(const ClaimResult& aVerdict)
 {
   transport::Spawn(mContext, Delete(aVerdict.mKey, aVerdict.mRecord.mNonce));
 }
 
 Task<void>
-ClaimKeeper::Delete(std::string aKey, std::string aNonce)
+ClaimManager::Delete(std::string aKey, std::string aNonce)
 {
   const PendingGuard guard(mPending);
   // A create whose answer was lost may still arrive: look more than once.
--- a/packages/coordination/src/claim_sweeper.cpp
+++ b/packages/coordination/src/claim_sweeper.cpp
@@ -45,7 +45,7 @@
 }
 
 void
-ClaimSweeper::TakeInstances(SharedInstances aInstances)
+ClaimSweeper::ApplyInstances(SharedInstances aInstances)
 {
   mInstances = std::move(aInstances);
 }
--- a/packages/coordination/src/companion.cpp
+++ b/packages/coordination/src/companion.cpp
@@ -30,7 +30,7 @@
                      Platform& aPlatform,
                      const state::Clock& aClock,
                      Metrics& aMetrics,
-                     PeerSnapshotTaker aOnPeerSnapshot)
+                     PeerSnapshotHandler aOnPeerSnapshot)
   : mContext(aContext)
   , mSettings(aSettings)
   , mBackend(aBackend)
@@ -75,7 +75,7 @@
 }
 
 void
-Companion::TakeConfig(PublishedConfig aConfig)
+Companion::ApplyConfig(PublishedConfig aConfig)
 {
   mConfig = std::move(aConfig);
 }
@@ -93,7 +93,7 @@
 }
 
 void
-Companion::BeginLeaving()
+Companion::BeginDrain()
 {
   mIsLeaving = true;
   mLog.Info("leaving; " + std::to_string(mQueue.Running()) +
@@ -325,7 +325,7 @@
   reply.mWaitMicros = static_cast<std::uint32_t>(
     std::min<std::int64_t>(mQueue.WaitMicros(aProbe.mPriority), UINT32_MAX));
   reply.mMicrosPerBlock = static_cast<std::uint32_t>(mMicrosPerBlock);
-  reply.mConfigVersion = aSession.Channel().VersionNews(ConfigVersion());
+  reply.mConfigVersion = aSession.Channel().UnannouncedVersion(ConfigVersion());
   aSession.Channel().Send(reply);
 }
 
--- a/packages/coordination/src/companion_parts.h
+++ b/packages/coordination/src/companion_parts.h
@@ -56,10 +56,10 @@
     }
   }
 
-  std::uint64_t VersionNews(std::uint64_t aVersion)
+  std::uint64_t UnannouncedVersion(std::uint64_t aVersion)
   {
     const auto session = mSession.lock();
-    return session ? session->Channel().VersionNews(aVersion) : 0;
+    return session ? session->Channel().UnannouncedVersion(aVersion) : 0;
   }
 
   /// Gives the work up; what must not be repeated is not cut at the backend.
--- a/packages/coordination/src/companion_work.cpp
+++ b/packages/coordination/src/companion_work.cpp
@@ -149,7 +149,7 @@
 Companion::RunWork(WorkPtr aWork)
 {
   ++mActive;
-  ClaimVerdict verdict;
+  ClaimResult verdict;
   const bool isAdmitted = co_await AwaitAdmission(aWork);
   if (isAdmitted && co_await AwaitClaim(aWork, verdict)) {
     co_await RunBackend(aWork, std::move(verdict));
@@ -183,7 +183,7 @@
 }
 
 Task<bool>
-Companion::AwaitClaim(WorkPtr aWork, ClaimVerdict& aVerdict)
+Companion::AwaitClaim(WorkPtr aWork, ClaimResult& aVerdict)
 {
   const auto& submit = aWork->mSubmit;
   if (submit.mIsOnce) {
@@ -195,12 +195,12 @@
     aVerdict =
       co_await mClaims.Settle(submit.mTeam, submit.mKey, digest, until);
     switch (aVerdict.mStep) {
-      case ClaimStep::kHandOver:
+      case ClaimStep::kExecute:
         break;
       case ClaimStep::kReplay:
         Replay(*aWork, aVerdict.mRecord);
         co_return false;
-      case ClaimStep::kTaken:
+      case ClaimStep::kHeldByOther:
         Fail(*aWork,
              RunState::kAlreadyTaken,
              "an earlier request with this key was taken and its outcome is "
@@ -235,7 +235,7 @@
 }
 
 Task<void>
-Companion::RunBackend(WorkPtr aWork, ClaimVerdict aVerdict)
+Companion::RunBackend(WorkPtr aWork, ClaimResult aVerdict)
 {
   auto& submit = aWork->mSubmit;
   const state::CacheScope scope{ submit.mTeam,
@@ -278,7 +278,7 @@
                                  submit.mAttempt,
                                  incarnation,
                                  (*answer)->CachedBlocks(),
-                                 aWork->VersionNews(ConfigVersion()),
+                                 aWork->UnannouncedVersion(ConfigVersion()),
                                  (*answer)->Weights() });
   bool hasFirstToken = false;
   std::string recorded;
@@ -292,7 +292,7 @@
     }
     if (!std::exchange(hasFirstToken, true)) {
       NoteBlockTime(*aWork);
-      mQueue.FirstToken(aWork->mTicket.mId);
+      mQueue.NoteFirstToken(aWork->mTicket.mId);
       Pump();
     }
     if (auto* tokens = std::get_if<BackendTokens>(&*event)) {
@@ -409,7 +409,7 @@
   refused.mWaitMicros =
     static_cast<std::uint64_t>(mQueue.WaitMicros(aWork.mSubmit.mPriority));
   refused.mMicrosPerBlock = static_cast<std::uint32_t>(mMicrosPerBlock);
-  refused.mConfigVersion = aWork.VersionNews(ConfigVersion());
+  refused.mConfigVersion = aWork.UnannouncedVersion(ConfigVersion());
   aWork.Send(refused);
 }
 
--- a/packages/coordination/src/config_feed.cpp
+++ b/packages/coordination/src/config_feed.cpp
@@ -63,7 +63,7 @@
 }
 
 void
-ConfigFeed::LogInForce() const
+ConfigFeed::LogActiveConfig() const
 {
   const auto& snapshot = *mStore.Current();
   mLog.Info("version " + std::to_string(snapshot.mVersion.mRevision) +
@@ -93,14 +93,14 @@
   switch (aOutcome) {
     case MergeOutcome::kApplied:
       mWasRestoreReported = false;
-      LogInForce();
+      LogActiveConfig();
       Publish();
       return;
     case MergeOutcome::kUnchanged:
       mWasRestoreReported = false;
       return;
     case MergeOutcome::kOlder:
-      ++mCounters.mOlderRefused;
+      ++mCounters.mStaleAnswers;
       if (!std::exchange(mWasRestoreReported, true)) {
         mLog.Warn("the platform answers with revision " +
                   std::to_string(aRevision) + ", older than revision " +
@@ -151,7 +151,7 @@
     mCounters.mGaps += watch->mIsGap ? 1 : 0;
     co_return co_await ListAll();
   }
-  if (watch->mChanges.empty() && !co_await IsEpochInForce()) {
+  if (watch->mChanges.empty() && !co_await IsEpochCurrent()) {
     co_return co_await ListAll();
   }
   const auto outcome = mStore.ApplyChanges(watch->mRevision, watch->mChanges);
@@ -163,7 +163,7 @@
 }
 
 Task<bool>
-ConfigFeed::IsEpochInForce()
+ConfigFeed::IsEpochCurrent()
 {
   // A platform that was restored may have passed the revision up to which
   // this process knows it, and a watch does not tell.
@@ -183,9 +183,9 @@
   bool isListed = false;
   while (true) {
     if (isListed && !IsWatcher()) {
-      mHasWatchers = co_await AskWatchers();
+      mHasWatchers = co_await QueryWatchers();
       if (mHasWatchers) {
-        co_await PauseUntilAsked();
+        co_await PauseBetweenQueries();
         continue;
       }
     }
@@ -197,7 +197,7 @@
     }
     // What was missed meanwhile is not known: list again.
     isListed = false;
-    co_await AskPeers();
+    co_await QueryPeers();
     co_await PauseAfterFailure();
   }
 }
@@ -228,7 +228,7 @@
 }
 
 Task<void>
-ConfigFeed::PauseUntilAsked()
+ConfigFeed::PauseBetweenQueries()
 {
   co_await transport::Sleep(Jittered(mSettings.mWatchers.mAskInterval));
 }
@@ -239,7 +239,7 @@
   bool isFirst = true;
   while (true) {
     if (!isFirst && mHasWatchers) {
-      co_await PauseUntilAsked();
+      co_await PauseBetweenQueries();
       continue;
     }
     ++mCounters.mPlatformCalls;
@@ -274,7 +274,7 @@
   }
   if (reply.mVersion > aHave.mHave) {
     const auto have = state::ConfigVersion::Unpack(aHave.mHave);
-    reply.mText = mRecent->TextSince(have.mEpoch, have.mRevision);
+    reply.mText = mRecent->SerializeSince(have.mEpoch, have.mRevision);
     if (reply.mText.empty()) {
       reply.mText = *mText;
     }
--- a/packages/coordination/src/config_feed_peers.cpp
+++ b/packages/coordination/src/config_feed_peers.cpp
@@ -28,27 +28,28 @@
 ConfigFeed::Ask(SnapshotClient& aClient, std::string aAddress)
 {
   protocol::SnapshotRequest have;
-  have.mHave = mWantsWhole ? 0 : std::max(Version().Packed(), mRefusedVersion);
+  have.mHave =
+    mNeedsFullSnapshot ? 0 : std::max(Version().Packed(), mRefusedVersion);
   have.mHaveInstances = mInstancesRevision;
   const auto reply = co_await aClient.Ask(aAddress, have);
   if (!reply) {
     mLog.Debug("no snapshot: " + reply.error().Describe() + ".");
     co_return false;
   }
-  mWantsWhole = false;
-  TakePeerSnapshot(*reply, aAddress);
+  mNeedsFullSnapshot = false;
+  ApplyPeerSnapshot(*reply, aAddress);
   // What is older here is not asked for again and again.
-  if (!mWantsWhole && reply->mVersion > Version().Packed()) {
+  if (!mNeedsFullSnapshot && reply->mVersion > Version().Packed()) {
     mRefusedVersion = reply->mVersion;
   }
   co_return true;
 }
 
 Task<bool>
-ConfigFeed::AskWatchers()
+ConfigFeed::QueryWatchers()
 {
-  ++mCounters.mWatcherQuestions;
-  auto watchers = state::WatchersOf(
+  ++mCounters.mWatcherQueries;
+  auto watchers = state::SelectWatchers(
     *mInstances, mSettings.mZone, mSettings.mWatchers.mPerZone);
   std::shuffle(watchers.begin(), watchers.end(), mRandom);
   for (const auto& watcher : watchers) {
@@ -56,7 +57,7 @@
       co_return true;
     }
   }
-  ++mCounters.mWatchersSilent;
+  ++mCounters.mUnansweredRounds;
   co_return false;
 }
 
@@ -64,12 +65,12 @@
 ConfigFeed::FollowCompanions()
 {
   while (true) {
-    co_await PauseUntilAsked();
+    co_await PauseBetweenQueries();
     if (mHasWatchers) {
       continue;
     }
     const auto peers =
-      state::PeersOf(*mInstances, mSettings.mName, kPeersAsked);
+      state::SelectPeers(*mInstances, mSettings.mName, kPeersAsked);
     if (!peers.empty()) {
       std::uniform_int_distribution<std::size_t> any(0, peers.size() - 1);
       co_await Ask(mCompanions, peers[any(mRandom)].mAddress);
@@ -78,7 +79,7 @@
 }
 
 Task<void>
-ConfigFeed::AskPeers()
+ConfigFeed::QueryPeers()
 {
   auto peers = mSettings.mPeers;
   std::shuffle(peers.begin(), peers.end(), mRandom);
@@ -89,18 +90,18 @@
 }
 
 void
-ConfigFeed::TakePeerSnapshot(const protocol::SnapshotReply& aReply,
-                             const std::string& aPeer)
+ConfigFeed::ApplyPeerSnapshot(const protocol::SnapshotReply& aReply,
+                              const std::string& aPeer)
 {
-  const bool hasNewInstances = TakePeerInstances(aReply.mInstances, aPeer);
-  const bool hasNewConfig = TakePeerConfig(aReply.mText, aPeer);
+  const bool hasNewInstances = ApplyPeerInstances(aReply.mInstances, aPeer);
+  const bool hasNewConfig = ApplyPeerConfig(aReply.mText, aPeer);
   if (hasNewInstances || hasNewConfig) {
     Publish();
   }
 }
 
 bool
-ConfigFeed::TakePeerConfig(const std::string& aText, const std::string& aPeer)
+ConfigFeed::ApplyPeerConfig(const std::string& aText, const std::string& aPeer)
 {
   if (aText.empty()) {
     return false;
@@ -108,7 +109,7 @@
   const auto outcome = mStore.ApplyPeer(aText, aPeer);
   if (!outcome) {
     const bool isUnfit = outcome.error().mCode == state::ErrorCode::kConflict;
-    mWantsWhole = mWantsWhole || isUnfit;
+    mNeedsFullSnapshot = mNeedsFullSnapshot || isUnfit;
     mLog.Warn("a snapshot of " + aPeer +
               " was refused: " + outcome.error().Describe() + ".");
     return false;
@@ -118,13 +119,13 @@
   }
   ++mCounters.mFromPeers;
   mLog.Info("took a snapshot from " + aPeer + ".");
-  LogInForce();
+  LogActiveConfig();
   return true;
 }
 
 bool
-ConfigFeed::TakePeerInstances(const std::string& aText,
-                              const std::string& aPeer)
+ConfigFeed::ApplyPeerInstances(const std::string& aText,
+                               const std::string& aPeer)
 {
   if (aText.empty()) {
     return false;
--- a/packages/coordination/src/daemon.cpp
+++ b/packages/coordination/src/daemon.cpp
@@ -14,7 +14,7 @@
 #include "shuntjunction/coordination/claim_sweeper.h"
 #include "shuntjunction/coordination/companion.h"
 #include "shuntjunction/coordination/config_feed.h"
-#include "shuntjunction/coordination/engine_orders.h"
+#include "shuntjunction/coordination/engine_reconciler.h"
 #include "shuntjunction/coordination/http_platform.h"
 #include "shuntjunction/coordination/router.h"
 #include "shuntjunction/coordination/status_writer.h"
@@ -85,10 +85,11 @@
     , mSignals(mTraffic, SIGTERM, SIGINT)
     , mControlPlatform(PlatformAddress(aSettings), aSettings.mPlatformTimeout)
     , mTrafficPlatform(PlatformAddress(aSettings), aSettings.mPlatformTimeout)
-    , mFeed(mControl,
-            FeedSettings(aSettings),
-            mControlPlatform,
-            [this](PublishedConfig aConfig) { TakeConfig(std::move(aConfig)); })
+    , mFeed(
+        mControl,
+        FeedSettings(aSettings),
+        mControlPlatform,
+        [this](PublishedConfig aConfig) { ApplyConfig(std::move(aConfig)); })
     , mStatus(mControl, mControlPlatform, aSettings.mName)
   {
   }
@@ -178,12 +179,12 @@
       mMetrics);
     mSweeper->Start();
     if (mBackend->IsEngine()) {
-      mOrders = std::make_unique<EngineOrders>(mTraffic,
-                                               mSettings,
-                                               *mBackend,
-                                               *mCompanion,
-                                               mTrafficPlatform,
-                                               mMetrics);
+      mOrders = std::make_unique<EngineReconciler>(mTraffic,
+                                                   mSettings,
+                                                   *mBackend,
+                                                   *mCompanion,
+                                                   mTrafficPlatform,
+                                                   mMetrics);
       mOrders->Start();
     }
     return mCompanion->Start();
@@ -192,13 +193,13 @@
   Result<Address> StartAdmin()
   {
     mAdmin = std::make_unique<Admin>(
-      AdminParts{ mSettings,
-                  mMetrics,
-                  mRouter.get(),
-                  mCompanion.get(),
-                  [this] { return mIsStopping; },
-                  [this] { BeginStop(); },
-                  [this] { return json::serialize(StatusObject()); } });
+      AdminDependencies{ mSettings,
+                         mMetrics,
+                         mRouter.get(),
+                         mCompanion.get(),
+                         [this] { return mIsStopping; },
+                         [this] { BeginStop(); },
+                         [this] { return json::serialize(StatusObject()); } });
     mAdminServer = std::make_unique<transport::HttpServer>(
       mTraffic, mSettings.mLimits, *mAdmin);
     const auto address = state::ParseAddress(mSettings.mAdmin);
@@ -206,29 +207,29 @@
   }
 
   /// Passes a peer's snapshot from the traffic to the control thread.
-  PeerSnapshotTaker SnapshotTaker()
+  PeerSnapshotHandler SnapshotTaker()
   {
     return [this](protocol::SnapshotReply aReply, std::string aPeer) {
       asio::post(mControl,
                  [this, reply = std::move(aReply), peer = std::move(aPeer)] {
-                   mFeed.TakePeerSnapshot(reply, peer);
+                   mFeed.ApplyPeerSnapshot(reply, peer);
                  });
     };
   }
 
   /// On the control thread: passes a configuration on to the traffic thread.
-  void TakeConfig(PublishedConfig aConfig)
+  void ApplyConfig(PublishedConfig aConfig)
   {
     asio::post(mTraffic, [this, config = std::move(aConfig)]() mutable {
       mConfig = config.mSnapshot;
       if (mRouter) {
-        mRouter->TakeConfig(config);
+        mRouter->ApplyConfig(config);
       } else {
-        mCompanion->TakeConfig(config);
-        mSweeper->TakeInstances(config.mInstances);
+        mCompanion->ApplyConfig(config);
+        mSweeper->ApplyInstances(config.mInstances);
       }
       if (mOrders) {
-        mOrders->TakeConfig(config.mSnapshot);
+        mOrders->ApplyConfig(config.mSnapshot);
       }
     });
   }
@@ -282,11 +283,11 @@
     };
     set("shuntjunction_config_platform_calls", aCounters.mPlatformCalls);
     set("shuntjunction_config_platform_errors", aCounters.mPlatformErrors);
-    set("shuntjunction_config_older_refused", aCounters.mOlderRefused);
+    set("shuntjunction_config_older_refused", aCounters.mStaleAnswers);
     set("shuntjunction_config_gaps", aCounters.mGaps);
     set("shuntjunction_config_from_peers", aCounters.mFromPeers);
-    set("shuntjunction_config_watcher_questions", aCounters.mWatcherQuestions);
-    set("shuntjunction_config_watchers_silent", aCounters.mWatchersSilent);
+    set("shuntjunction_config_watcher_questions", aCounters.mWatcherQueries);
+    set("shuntjunction_config_watchers_silent", aCounters.mUnansweredRounds);
     set("shuntjunction_config_peer_bytes", aCounters.mPeerBytes);
     set("shuntjunction_config_watching", aIsWatching ? 1 : 0);
   }
@@ -303,7 +304,7 @@
       mServer->RefuseKeepAlive();
     }
     if (mCompanion) {
-      mCompanion->BeginLeaving();
+      mCompanion->BeginDrain();
     }
     transport::Spawn(mTraffic, FinishStop());
   }
@@ -347,7 +348,7 @@
   std::unique_ptr<Router> mRouter;
   std::unique_ptr<Companion> mCompanion;
   std::unique_ptr<ClaimSweeper> mSweeper;
-  std::unique_ptr<EngineOrders> mOrders;
+  std::unique_ptr<EngineReconciler> mOrders;
   std::unique_ptr<Admin> mAdmin;
   std::unique_ptr<transport::HttpServer> mServer;
   std::unique_ptr<transport::HttpServer> mAdminServer;
--- a/packages/coordination/src/engine_watch.cpp
+++ b/packages/coordination/src/engine_monitor.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/engine_watch.h"
+#include "shuntjunction/coordination/engine_monitor.h"
 
 namespace shuntjunction::coordination {
 
@@ -19,10 +19,10 @@
 
 } // namespace
 
-EngineWatch::EngineWatch(transport::asio::io_context& aContext,
-                         EngineControl& aEngine,
-                         EngineNewsServer& aNews,
-                         Taker aTake)
+EngineMonitor::EngineMonitor(transport::asio::io_context& aContext,
+                             EngineControl& aEngine,
+                             EngineNewsServer& aNews,
+                             Handler aTake)
   : mContext(aContext)
   , mEngine(aEngine)
   , mNews(aNews)
@@ -31,20 +31,20 @@
 }
 
 void
-EngineWatch::Start()
+EngineMonitor::Start()
 {
   transport::Spawn(mContext, Run());
 }
 
 Task<void>
-EngineWatch::Run()
+EngineMonitor::Run()
 {
   int failures = 0;
   while (true) {
     const auto report = co_await mEngine.Report();
     if (report) {
       failures = 0;
-      mNews.SetLife(report->mLife);
+      mNews.SetLife(report->mEndpointIncarnation);
       mTake(*report);
       mNews.SetLoad(static_cast<std::uint32_t>(report->mActive),
                     static_cast<std::uint32_t>(report->mQueued));
--- a/packages/coordination/src/engine_news_client.cpp
+++ b/packages/coordination/src/engine_news_client.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "shuntjunction/state/prefix_chain.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 namespace shuntjunction::coordination {
 
@@ -28,10 +28,10 @@
 
 /// Waiting tokens that must have come or gone before a companion is told: some
 /// 25 ms of an engine's reading.
-constexpr std::int64_t kTokensToTell = 1000;
+constexpr std::int64_t kMinTokenChange = 1000;
 
 /// Companions that pass a crash on: one of them may be about to end itself.
-constexpr std::size_t kTellersOfCrashes = 2;
+constexpr std::size_t kCrashForwarders = 2;
 
 /// Wait for what a companion gives of a limit: longer than a machine pauses for
 /// its processor quota. Another companion is asked then.
@@ -52,27 +52,27 @@
     std::shared_ptr<FrameChannel> mChannel;
     bool mIsWanted = true;
     state::WaitingTokens mWaiting;     ///< of this relay there
-    state::WaitingTokens mToldWaiting; ///< on this channel
+    state::WaitingTokens mSentWaiting; ///< on this channel
   };
 
   Shared(asio::io_context& aContext,
          transport::ChannelIdentity aIdentity,
          std::uint16_t aPort,
          EventLog& aLog,
-         Taker aTake,
-         PartTaker aTakePart,
-         CrashTaker aTakeCrashes,
-         RateTaker aTakeRate,
-         EndTaker aTakeEnd)
+         Handler aTake,
+         PartReadingHandler aTakePart,
+         CrashReportsHandler aTakeCrashes,
+         RateNewsHandler aTakeRate,
+         ConnectionEndHandler aTakeEnd)
     : mContext(aContext)
     , mIdentity(std::move(aIdentity))
     , mPort(aPort)
     , mLog(aLog)
     , mTake(std::move(aTake))
-    , mTakePart(std::move(aTakePart))
-    , mTakeCrashes(std::move(aTakeCrashes))
-    , mTakeRate(std::move(aTakeRate))
-    , mTakeEnd(std::move(aTakeEnd))
+    , mOnPartReading(std::move(aTakePart))
+    , mOnCrashReports(std::move(aTakeCrashes))
+    , mOnRateNews(std::move(aTakeRate))
+    , mOnConnectionEnd(std::move(aTakeEnd))
   {
   }
 
@@ -90,13 +90,13 @@
                      .Add("address", aSource->mAddress));
         const bool isEnded = co_await Listen(aSource, *channel);
         if (isEnded) {
-          mTakeEnd(address->mHost);
+          mOnConnectionEnd(address->mHost);
         }
         mLog.Write(EventLine(kPart, "companion-lost")
                      .Add("address", aSource->mAddress)
                      .Add("ended", isEnded));
       }
-      co_await transport::Sleep(state::SpreadPause(pause, mRandom));
+      co_await transport::Sleep(state::JitteredPause(pause, mRandom));
       pause = std::min(pause * 2, kLongestPause);
     }
   }
@@ -107,8 +107,8 @@
                     std::shared_ptr<FrameChannel> aChannel)
   {
     aSource->mChannel = aChannel;
-    aSource->mToldWaiting = {};
-    TellWaiting(*aSource);
+    aSource->mSentWaiting = {};
+    ReportWaiting(*aSource);
     transport::Timer silence(mContext);
     while (aSource->mIsWanted) {
       silence.expires_after(kSilenceLimit);
@@ -126,19 +126,19 @@
         mTake(*news);
       } else if (const auto* reading =
                    std::get_if<protocol::PartReading>(&*message)) {
-        mTakePart(*reading);
+        mOnPartReading(*reading);
       } else if (const auto* crashes =
                    std::get_if<protocol::CrashReports>(&*message)) {
-        mTakeCrashes(*crashes);
+        mOnCrashReports(*crashes);
       } else if (const auto* news =
                    std::get_if<protocol::RateNews>(&*message)) {
-        mTakeRate(news->mNews);
+        mOnRateNews(news->mNews);
       } else if (const auto* grant =
                    std::get_if<protocol::LimitGrant>(&*message)) {
-        TakeReply(grant->mId, *message);
+        CompleteRequest(grant->mId, *message);
       } else if (const auto* place =
                    std::get_if<protocol::PlaceGrant>(&*message)) {
-        TakeReply(place->mId, *message);
+        CompleteRequest(place->mId, *message);
       }
     }
     aChannel->Close();
@@ -148,23 +148,23 @@
 
   /// Tells what waits there, if that differs enough from what was told, or asks
   /// for news of a part.
-  static void TellWaiting(Source& aSource, const std::string& aPart = {})
+  static void ReportWaiting(Source& aSource, const std::string& aPart = {})
   {
     const auto now = aSource.mWaiting.Total();
-    const auto told = aSource.mToldWaiting.Total();
-    const bool isDue = std::abs(now - told) >= kTokensToTell || now == 0;
-    const bool isNews = isDue && aSource.mWaiting != aSource.mToldWaiting;
+    const auto told = aSource.mSentWaiting.Total();
+    const bool isDue = std::abs(now - told) >= kMinTokenChange || now == 0;
+    const bool isNews = isDue && aSource.mWaiting != aSource.mSentWaiting;
     if (!aSource.mChannel || (!isNews && aPart.empty())) {
       return;
     }
-    aSource.mToldWaiting = aSource.mWaiting;
+    aSource.mSentWaiting = aSource.mWaiting;
     aSource.mChannel->Send(protocol::RelayWaiting{ aSource.mWaiting, aPart });
   }
 
   /// A question that waits for its answer.
-  struct OpenAsk
+  struct PendingRequest
   {
-    explicit OpenAsk(asio::io_context& aContext)
+    explicit PendingRequest(asio::io_context& aContext)
       : mSignal(aContext, kGrantTimeout)
     {
     }
@@ -173,10 +173,10 @@
     std::optional<protocol::Message> mReply;
   };
 
-  void TakeReply(std::uint32_t aId, const protocol::Message& aReply)
+  void CompleteRequest(std::uint32_t aId, const protocol::Message& aReply)
   {
-    const auto found = mOpenAsks.find(aId);
-    if (found != mOpenAsks.end()) {
+    const auto found = mPendingRequests.find(aId);
+    if (found != mPendingRequests.end()) {
       found->second->mReply = aReply;
       found->second->mSignal.cancel();
     }
@@ -187,19 +187,19 @@
   /// @param aMake  makes the question of its id
   /// @tparam Reply  what answers it
   template<typename Reply, typename Make>
-  Task<std::optional<Reply>> AskCompanion(std::string aHost, Make aMake)
+  Task<std::optional<Reply>> RequestFromCompanion(std::string aHost, Make aMake)
   {
     const auto self = shared_from_this();
     const auto found = mSources.find(CompanionOf(aHost));
     if (found == mSources.end() || !found->second->mChannel) {
       co_return std::nullopt;
     }
-    const auto id = ++mLastAsk;
-    const auto open = std::make_shared<OpenAsk>(mContext);
-    mOpenAsks.emplace(id, open);
+    const auto id = ++mLastRequestId;
+    const auto open = std::make_shared<PendingRequest>(mContext);
+    mPendingRequests.emplace(id, open);
     found->second->mChannel->Send(aMake(id));
     co_await open->mSignal.async_wait(transport::kAsTuple);
-    mOpenAsks.erase(id);
+    mPendingRequests.erase(id);
     const auto* reply =
       open->mReply ? std::get_if<Reply>(&*open->mReply) : nullptr;
     co_return reply == nullptr ? std::nullopt : std::optional(*reply);
@@ -235,27 +235,28 @@
   transport::ChannelIdentity mIdentity;
   std::uint16_t mPort;
   EventLog& mLog;
-  Taker mTake;
-  PartTaker mTakePart;
-  CrashTaker mTakeCrashes;
-  RateTaker mTakeRate;
-  EndTaker mTakeEnd;
+  Handler mTake;
+  PartReadingHandler mOnPartReading;
+  CrashReportsHandler mOnCrashReports;
+  RateNewsHandler mOnRateNews;
+  ConnectionEndHandler mOnConnectionEnd;
   transport::ChannelCounters mCounters;
   state::RandomSource mRandom{ std::random_device{}() };
   std::map<std::string, std::shared_ptr<Source>> mSources; ///< by address
-  std::uint32_t mLastAsk = 0;
-  std::map<std::uint32_t, std::shared_ptr<OpenAsk>> mOpenAsks; ///< by id
+  std::uint32_t mLastRequestId = 0;
+  std::map<std::uint32_t, std::shared_ptr<PendingRequest>>
+    mPendingRequests; ///< by id
 };
 
 EngineNewsClient::EngineNewsClient(asio::io_context& aContext,
                                    transport::ChannelIdentity aIdentity,
                                    std::uint16_t aPort,
                                    EventLog& aLog,
-                                   Taker aTake,
-                                   PartTaker aTakePart,
-                                   CrashTaker aTakeCrashes,
-                                   RateTaker aTakeRate,
-                                   EndTaker aTakeEnd)
+                                   Handler aTake,
+                                   PartReadingHandler aTakePart,
+                                   CrashReportsHandler aTakeCrashes,
+                                   RateNewsHandler aTakeRate,
+                                   ConnectionEndHandler aTakeEnd)
   : mShared(std::make_shared<Shared>(aContext,
                                      std::move(aIdentity),
                                      aPort,
@@ -304,8 +305,8 @@
 }
 
 void
-EngineNewsClient::Tell(const std::string& aEndpointAddress,
-                       const protocol::PartReading& aReading)
+EngineNewsClient::SendPartReading(const std::string& aEndpointAddress,
+                                  const protocol::PartReading& aReading)
 {
   const auto* source = mShared->Find(aEndpointAddress);
   if (source != nullptr && source->mChannel) {
@@ -314,8 +315,8 @@
 }
 
 void
-EngineNewsClient::TellCrashes(std::uint64_t aEndpoint,
-                              const protocol::CrashReports& aReports)
+EngineNewsClient::SendCrashReports(std::uint64_t aEndpoint,
+                                   const protocol::CrashReports& aReports)
 {
   std::vector<std::pair<std::uint64_t, Shared::Source*>> ranked;
   for (const auto& [address, source] : mShared->mSources) {
@@ -324,7 +325,7 @@
                           source.get());
     }
   }
-  const auto count = std::min(kTellersOfCrashes, ranked.size());
+  const auto count = std::min(kCrashForwarders, ranked.size());
   std::partial_sort(ranked.begin(),
                     ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end());
@@ -334,12 +335,13 @@
 }
 
 Task<std::optional<state::ShareGrant>>
-EngineNewsClient::AskShare(std::string aHost, state::ShareAsk aAsk)
+EngineNewsClient::RequestShare(std::string aHost, state::ShareAsk aAsk)
 {
-  const auto reply = co_await mShared->AskCompanion<protocol::LimitGrant>(
-    std::move(aHost), [&](std::uint32_t aId) {
-      return protocol::LimitAsk{ aId, aAsk };
-    });
+  const auto reply =
+    co_await mShared->RequestFromCompanion<protocol::LimitGrant>(
+      std::move(aHost), [&](std::uint32_t aId) {
+        return protocol::LimitAsk{ aId, aAsk };
+      });
   co_return reply ? std::optional(reply->mGrant) : std::nullopt;
 }
 
@@ -351,18 +353,19 @@
 }
 
 Task<std::optional<state::PlaceGrant>>
-EngineNewsClient::AskPlace(std::string aHost, state::PlaceAsk aAsk)
+EngineNewsClient::RequestPermit(std::string aHost, state::PlaceAsk aAsk)
 {
-  const auto reply = co_await mShared->AskCompanion<protocol::PlaceGrant>(
-    std::move(aHost), [&](std::uint32_t aId) {
-      return protocol::PlaceAsk{ aId, aAsk };
-    });
+  const auto reply =
+    co_await mShared->RequestFromCompanion<protocol::PlaceGrant>(
+      std::move(aHost), [&](std::uint32_t aId) {
+        return protocol::PlaceAsk{ aId, aAsk };
+      });
   co_return reply ? std::optional(reply->mGrant) : std::nullopt;
 }
 
 void
-EngineNewsClient::ReturnPlace(const std::string& aHost,
-                              state::LimitHash aEndpoint)
+EngineNewsClient::ReturnPermit(const std::string& aHost,
+                               state::LimitHash aEndpoint)
 {
   mShared->Send(aHost, protocol::PlaceReturn{ aEndpoint });
 }
@@ -382,7 +385,7 @@
   auto* source = mShared->Find(aEndpointAddress);
   if (source != nullptr) {
     source->mWaiting = aWaiting;
-    Shared::TellWaiting(*source, aPart);
+    Shared::ReportWaiting(*source, aPart);
   }
 }
 
--- a/packages/coordination/src/engine_news_server.cpp
+++ b/packages/coordination/src/engine_news_server.cpp
@@ -9,7 +9,7 @@
 #include <iterator>
 #include <utility>
 
-#include "shuntjunction/state/crash_ledger.h"
+#include "shuntjunction/state/crash_tracker.h"
 #include "shuntjunction/state/part_index.h"
 
 namespace shuntjunction::coordination {
@@ -29,27 +29,27 @@
 constexpr Millis kRepeatInterval{ 1000 };
 
 /// A queue that grew or shrank by so many requests is told at once.
-constexpr std::uint32_t kQueueChangeToTell = 3;
+constexpr std::uint32_t kMinQueueChange = 3;
 
 /// Waiting tokens that must have come or gone before relays are told: a tenth
 /// of a second of an engine's reading. All that wait there are told to every
 /// relay, so that less would cost more bytes than it tells.
-constexpr std::int64_t kTokensToTell = 4000;
+constexpr std::int64_t kMinTokenChange = 4000;
 
 /// Relays up to which that holds. Among more, each is told of proportionally
 /// larger changes, up to the most, a third of a second of reading: that is
 /// enough to pass an engine over, and a hundred relays would otherwise cost
 /// more bytes between zones than their callers' requests.
-constexpr std::int64_t kRelaysToTell = 25;
-constexpr std::int64_t kMostTokensToTell = 16000;
+constexpr std::int64_t kRelaysAtMinChange = 25;
+constexpr std::int64_t kMaxTokenChange = 16000;
 
 /// Crashes of one moment go to the relays together: each of these sees some of
 /// the requests that ran there.
-constexpr Millis kTellCrashesAfter{ 10 };
+constexpr Millis kCrashBatchDelay{ 10 };
 
 /// Crashes that a relay is told when it connects: some 80 KB. Those of the
 /// requests with the most come first.
-constexpr std::size_t kMaxCrashesTold = 1024;
+constexpr std::size_t kMaxCrashesSent = 1024;
 
 EngineNews
 NewsOf(const EngineState& aState)
@@ -67,10 +67,10 @@
 struct EngineNewsServer::Shared : std::enable_shared_from_this<Shared>
 {
   /// What a holder keeps, in the life that it is in.
-  struct Holding
+  struct HolderState
   {
     std::set<std::string> mParts;
-    state::LifeTracker mLife;
+    state::IncarnationTracker mEndpointIncarnation;
   };
 
   Shared(asio::io_context& aContext,
@@ -105,7 +105,7 @@
     co_await Hear(aChannel);
     aChannel->Close();
     mChannels.erase(aChannel);
-    TellWaiting();
+    ReportWaiting();
   }
 
   /// Takes what a relay tells, until it ends or says anything else.
@@ -117,20 +117,20 @@
         co_return;
       }
       if (const auto* reading = std::get_if<protocol::PartReading>(&*message)) {
-        PassOn(*reading, aChannel);
+        ForwardToOthers(*reading, aChannel);
       } else if (const auto* crashes =
                    std::get_if<protocol::CrashReports>(&*message)) {
-        TakeCrashes(*crashes);
+        HandleCrashReports(*crashes);
       } else if (const auto* waiting =
                    std::get_if<protocol::RelayWaiting>(&*message)) {
         mChannels[aChannel] = waiting->mWaiting;
-        NoteAskedFor(waiting->mPart);
-        TellWaiting();
+        AddRequestedPart(waiting->mPart);
+        ReportWaiting();
       } else if (const auto* ask = std::get_if<protocol::LimitAsk>(&*message)) {
         aChannel->Send(protocol::LimitGrant{ ask->mId, Grant(ask->mAsk) });
       } else if (const auto* back =
                    std::get_if<protocol::LimitReturn>(&*message)) {
-        TakeBack(*back);
+        ReturnToShare(*back);
       } else if (!HandleRateMessage(*message, *aChannel)) {
         co_return;
       }
@@ -143,7 +143,7 @@
                               : mShares->Take(aAsk, mClock.Now());
   }
 
-  void TakeBack(const protocol::LimitReturn& aReturn)
+  void ReturnToShare(const protocol::LimitReturn& aReturn)
   {
     if (mShares != nullptr) {
       mShares->GiveBack(aReturn.mKey, aReturn.mAmount);
@@ -202,7 +202,7 @@
     if (mLimits == nullptr) {
       return;
     }
-    for (const auto& use : mLimits->TakeUses()) {
+    for (const auto& use : mLimits->CollectUsage()) {
       mLog.Write(EventLine(kPart, "rate-used")
                    .Add("hash", use.mEndpoint)
                    .Add("per_second", use.mPerSecond)
@@ -212,29 +212,29 @@
   }
 
   /// Remembers what a relay saw of crashes; what is news goes to all relays.
-  void TakeCrashes(const protocol::CrashReports& aReports)
+  void HandleCrashReports(const protocol::CrashReports& aReports)
   {
     const auto now = mClock.Now();
-    const bool isFirst = mUntold.mWords.empty();
+    const bool isFirst = mPendingReports.mWords.empty();
     for (const auto& word : aReports.mWords) {
       const auto& report = word.mReport.mReport;
       const bool isNews = word.mIsCleared
                             ? !mCrashes.Clear(report.mRequest).empty()
                             : mCrashes.Note(report, now - word.mReport.mAge);
       if (isNews) {
-        mUntold.mWords.push_back(word);
+        mPendingReports.mWords.push_back(word);
       }
     }
-    if (isFirst && !mUntold.mWords.empty()) {
-      transport::Spawn(mContext, TellCrashesSoon());
+    if (isFirst && !mPendingReports.mWords.empty()) {
+      transport::Spawn(mContext, SendCrashesSoon());
     }
   }
 
-  Task<void> TellCrashesSoon()
+  Task<void> SendCrashesSoon()
   {
     const auto self = shared_from_this();
-    co_await transport::Sleep(kTellCrashesAfter);
-    const auto reports = std::exchange(mUntold, {});
+    co_await transport::Sleep(kCrashBatchDelay);
+    const auto reports = std::exchange(mPendingReports, {});
     for (const auto& [channel, waiting] : mChannels) {
       channel->Send(reports);
     }
@@ -245,7 +245,7 @@
   {
     protocol::CrashReports known;
     for (auto& report : mCrashes.Reports(mClock.Now())) {
-      if (known.mWords.size() >= kMaxCrashesTold) {
+      if (known.mWords.size() >= kMaxCrashesSent) {
         break;
       }
       known.mWords.push_back({ std::move(report), false });
@@ -253,8 +253,8 @@
     return known;
   }
 
-  void PassOn(const protocol::PartReading& aReading,
-              const std::shared_ptr<FrameChannel>& aFrom)
+  void ForwardToOthers(const protocol::PartReading& aReading,
+                       const std::shared_ptr<FrameChannel>& aFrom)
   {
     for (const auto& [channel, waiting] : mChannels) {
       if (channel != aFrom) {
@@ -274,33 +274,33 @@
   }
 
   /// Takes that relays want to hear of a part; tells it if it is kept.
-  void NoteAskedFor(const std::string& aPart)
+  void AddRequestedPart(const std::string& aPart)
   {
-    if (aPart.empty() || !mAskedFor.insert(aPart).second) {
+    if (aPart.empty() || !mRequestedParts.insert(aPart).second) {
       return;
     }
-    mAskedOrder.push_back(aPart);
-    if (mAskedOrder.size() > state::kMaxPartsOfHolder) {
-      mAskedFor.erase(mAskedOrder.front());
-      mAskedOrder.pop_front();
+    mRequestOrder.push_back(aPart);
+    if (mRequestOrder.size() > state::kMaxPartsOfHolder) {
+      mRequestedParts.erase(mRequestOrder.front());
+      mRequestOrder.pop_front();
     }
     if (Of(PartHolder::kEngine).mParts.contains(aPart)) {
       SendParts(PartHolder::kEngine, { aPart }, {});
     }
   }
 
-  Holding& Of(PartHolder aHolder)
+  HolderState& Of(PartHolder aHolder)
   {
-    return mHoldings[static_cast<std::size_t>(aHolder)];
+    return mHolderStates[static_cast<std::size_t>(aHolder)];
   }
-  const Holding& Of(PartHolder aHolder) const
+  const HolderState& Of(PartHolder aHolder) const
   {
-    return mHoldings[static_cast<std::size_t>(aHolder)];
+    return mHolderStates[static_cast<std::size_t>(aHolder)];
   }
 
-  bool IsTold(PartHolder aHolder, const std::string& aPart) const
+  bool ShouldSend(PartHolder aHolder, const std::string& aPart) const
   {
-    return aHolder == PartHolder::kStore || mAskedFor.contains(aPart);
+    return aHolder == PartHolder::kStore || mRequestedParts.contains(aPart);
   }
 
   /// Tells of parts that came and went, of those that relays want to hear of.
@@ -311,7 +311,7 @@
     auto news = NewsOfHolder(aHolder);
     news.mIsWhole = false;
     const auto isTold = [&](const std::string& aPart) {
-      return IsTold(aHolder, aPart);
+      return ShouldSend(aHolder, aPart);
     };
     std::copy_if(
       aGained.begin(), aGained.end(), std::back_inserter(news.mGained), isTold);
@@ -323,17 +323,18 @@
   }
 
   /// Waiting tokens that must have come or gone before relays are told.
-  std::int64_t TokensToTell() const
+  std::int64_t MinTokenChange() const
   {
     const auto relays = static_cast<std::int64_t>(mChannels.size());
-    return std::clamp(
-      kTokensToTell * relays / kRelaysToTell, kTokensToTell, kMostTokensToTell);
+    return std::clamp(kMinTokenChange * relays / kRelaysAtMinChange,
+                      kMinTokenChange,
+                      kMaxTokenChange);
   }
 
   /// Tells what waits, if that differs enough from what was told.
-  void TellWaiting()
+  void ReportWaiting()
   {
-    if (std::abs(AllWaiting().Total() - mToldWaiting) >= TokensToTell()) {
+    if (std::abs(AllWaiting().Total() - mSentWaiting) >= MinTokenChange()) {
       SendState();
     }
   }
@@ -367,7 +368,7 @@
       }
       news.mRunning = mRunning;
       news.mQueued = mQueued;
-      news.mLife = Of(aHolder).mLife.Current();
+      news.mEndpointIncarnation = Of(aHolder).mEndpointIncarnation.Current();
       return news;
     }
     EngineNews news;
@@ -382,7 +383,7 @@
     std::copy_if(parts.begin(),
                  parts.end(),
                  std::back_inserter(news.mGained),
-                 [&](const auto& aPart) { return IsTold(aHolder, aPart); });
+                 [&](const auto& aPart) { return ShouldSend(aHolder, aPart); });
     return news;
   }
 
@@ -394,7 +395,8 @@
     if (aHolder == PartHolder::kEngine) {
       mLog.Write(EventLine(kPart, "engine-restarted")
                    .Add("endpoint", mState.mEndpoint)
-                   .Add("started_at", holding.mLife.Current().StartedAt()));
+                   .Add("started_at",
+                        holding.mEndpointIncarnation.Current().StartedAt()));
     }
     Send(WholeNews(aHolder));
   }
@@ -403,7 +405,7 @@
   {
     auto news = NewsOfHolder(PartHolder::kEngine);
     news.mIsWhole = false;
-    mToldQueued = mQueued;
+    mSentQueued = mQueued;
     Send(news);
   }
 
@@ -411,7 +413,7 @@
   {
     const bool isOfEngine = !aNews.mModel.empty();
     if (isOfEngine) {
-      mToldWaiting = AllWaiting().Total();
+      mSentWaiting = AllWaiting().Total();
     }
     for (const auto& [channel, waiting] : mChannels) {
       channel->Send(isOfEngine ? WithWaiting(aNews, waiting) : aNews);
@@ -422,21 +424,21 @@
   transport::ChannelIdentity mIdentity;
   EventLog& mLog;
   const state::Clock& mClock;
-  state::ShareKeeper* mShares = nullptr;
+  state::LimitShares* mShares = nullptr;
   state::EndpointLimits* mLimits = nullptr;
   transport::ChannelCounters mCounters;
   EngineState mState;
-  std::uint32_t mToldQueued = 0;
+  std::uint32_t mSentQueued = 0;
   bool mIsDown = false;
   std::uint32_t mRunning = 0;
   std::uint32_t mQueued = 0;
-  std::string mStore;                           ///< address; empty: not told of
-  std::array<Holding, 2> mHoldings;             ///< by PartHolder
-  std::set<std::string, std::less<>> mAskedFor; ///< parts that are told
-  std::deque<std::string> mAskedOrder;          ///< the same, the oldest first
-  std::int64_t mToldWaiting = 0;
-  state::CrashLedger mCrashes{ state::CrashLedgerSettings{} };
-  protocol::CrashReports mUntold; ///< of crashes, to the relays
+  std::string mStore;                       ///< address; empty: not told of
+  std::array<HolderState, 2> mHolderStates; ///< by PartHolder
+  std::set<std::string, std::less<>> mRequestedParts; ///< parts that are told
+  std::deque<std::string> mRequestOrder; ///< the same, the oldest first
+  std::int64_t mSentWaiting = 0;
+  state::CrashTracker mCrashes{ state::CrashTrackerSettings{} };
+  protocol::CrashReports mPendingReports; ///< of crashes, to the relays
   /// Relays, and what of them waits at the engine.
   std::map<std::shared_ptr<FrameChannel>, state::WaitingTokens> mChannels;
 };
@@ -453,7 +455,7 @@
 EngineNewsServer::~EngineNewsServer() = default;
 
 void
-EngineNewsServer::SetLimits(state::ShareKeeper& aShares,
+EngineNewsServer::SetLimits(state::LimitShares& aShares,
                             state::EndpointLimits& aLimits)
 {
   mShared->mShares = &aShares;
@@ -510,35 +512,35 @@
 {
   mShared->mRunning = aRunning;
   mShared->mQueued = aQueued;
-  const auto told = mShared->mToldQueued;
+  const auto told = mShared->mSentQueued;
   const auto change = std::max(aQueued, told) - std::min(aQueued, told);
-  if (change >= kQueueChangeToTell) {
+  if (change >= kMinQueueChange) {
     mShared->SendState();
   }
 }
 
 void
-EngineNewsServer::SetLife(state::EndpointLife aLife)
+EngineNewsServer::SetLife(state::EndpointIncarnation aLife)
 {
-  auto& life = mShared->Of(PartHolder::kEngine).mLife;
-  if (life.TakeOwnWord(aLife) == state::LifeWord::kNewer) {
+  auto& life = mShared->Of(PartHolder::kEngine).mEndpointIncarnation;
+  if (life.TakeSelfReport(aLife) == state::IncarnationUpdate::kNewer) {
     mShared->BeginLife(PartHolder::kEngine);
   }
 }
 
 void
 EngineNewsServer::ChangeParts(PartHolder aHolder,
-                              state::EndpointLife aLife,
+                              state::EndpointIncarnation aLife,
                               const std::vector<std::string>& aGained,
                               const std::vector<std::string>& aLost)
 {
   const auto now = mShared->mClock.Now();
   auto& holding = mShared->Of(aHolder);
-  const auto word = holding.mLife.Take(aLife, now);
-  if (word == state::LifeWord::kFormer) {
+  const auto word = holding.mEndpointIncarnation.Take(aLife, now);
+  if (word == state::IncarnationUpdate::kFormer) {
     return;
   }
-  if (word == state::LifeWord::kNewer) {
+  if (word == state::IncarnationUpdate::kNewer) {
     mShared->BeginLife(aHolder);
   }
   auto& parts = holding.mParts;
--- a/packages/coordination/src/engine_orders.cpp
+++ b/packages/coordination/src/engine_reconciler.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/engine_orders.h"
+#include "shuntjunction/coordination/engine_reconciler.h"
 
 #include <algorithm>
 #include <vector>
@@ -31,12 +31,12 @@
 
 } // namespace
 
-EngineOrders::EngineOrders(boost::asio::io_context& aContext,
-                           const state::Settings& aSettings,
-                           Backend& aBackend,
-                           Companion& aCompanion,
-                           Platform& aPlatform,
-                           Metrics& aMetrics)
+EngineReconciler::EngineReconciler(boost::asio::io_context& aContext,
+                                   const state::Settings& aSettings,
+                                   Backend& aBackend,
+                                   Companion& aCompanion,
+                                   Platform& aPlatform,
+                                   Metrics& aMetrics)
   : mContext(aContext)
   , mSettings(aSettings)
   , mBackend(aBackend)
@@ -51,19 +51,20 @@
 }
 
 void
-EngineOrders::Start()
+EngineReconciler::Start()
 {
   transport::Spawn(mContext, Follow());
 }
 
 void
-EngineOrders::TakeConfig(std::shared_ptr<const state::ConfigSnapshot> aConfig)
+EngineReconciler::ApplyConfig(
+  std::shared_ptr<const state::ConfigSnapshot> aConfig)
 {
   mConfig = std::move(aConfig);
 }
 
 Task<void>
-EngineOrders::Follow()
+EngineReconciler::Follow()
 {
   while (true) {
     co_await transport::Sleep(kLookInterval);
@@ -72,7 +73,7 @@
 }
 
 std::optional<BackendOrder>
-EngineOrders::Wanted() const
+EngineReconciler::Wanted() const
 {
   const auto endpoint = mConfig->mEndpoints.find(mSettings.mName);
   if (endpoint == mConfig->mEndpoints.end()) {
@@ -91,7 +92,7 @@
 }
 
 bool
-EngineOrders::IsInLine(const BackendOrder& aOrder) const
+EngineReconciler::IsInLine(const BackendOrder& aOrder) const
 {
   const auto& found = mCompanion.LastState();
   return found.mModel == aOrder.mModel && found.mWeights == aOrder.mWeights &&
@@ -99,7 +100,7 @@
 }
 
 Task<void>
-EngineOrders::Reconcile()
+EngineReconciler::Reconcile()
 {
   const auto wanted = Wanted();
   const bool isUp = mCompanion.LastState().mIncarnation != 0;
@@ -122,16 +123,16 @@
 }
 
 Task<bool>
-EngineOrders::Run(state::OrderMachine& aMachine, BackendOrder aOrder)
+EngineReconciler::Run(state::OrderMachine& aMachine, BackendOrder aOrder)
 {
   for (int step = 0; step < kMaxSteps; ++step) {
     switch (aMachine.Step()) {
       case OrderStep::kReadFence:
-      case OrderStep::kLookAgain:
-        aMachine.FenceRead(co_await ReadFence());
+      case OrderStep::kRecheckFence:
+        aMachine.OnFenceRead(co_await ReadFence());
         break;
-      case OrderStep::kTakeFence:
-        aMachine.FenceWritten(
+      case OrderStep::kAcquireFence:
+        aMachine.OnFenceWritten(
           co_await mPlatform.Write(mFenceKey,
                                    state::WriteFenceRecord(aMachine.Next()),
                                    aMachine.Revision()));
@@ -139,14 +140,14 @@
       case OrderStep::kDrain:
         mCompanion.PauseAdmission(true);
         co_await WaitForStreams();
-        aMachine.Drained();
+        aMachine.OnDrained();
         break;
-      case OrderStep::kOrder:
+      case OrderStep::kSendOrder:
         aOrder.mFence = aMachine.Fence();
         co_await Give(aOrder);
-        aMachine.Ordered();
+        aMachine.OnOrderSent();
         break;
-      case OrderStep::kOver:
+      case OrderStep::kCompleted:
         co_return true;
       case OrderStep::kLost:
         mLog.Info("no order: the fencing number is another's, or unsure.");
@@ -158,7 +159,7 @@
 }
 
 Task<void>
-EngineOrders::Give(BackendOrder aOrder)
+EngineReconciler::Give(BackendOrder aOrder)
 {
   mLog.Info("ordering " + aOrder.mModel + ", weights version " +
             std::to_string(aOrder.mWeights) + ", with fencing number " +
@@ -172,14 +173,14 @@
   }
 }
 
-Task<Result<state::HeldFence>>
-EngineOrders::ReadFence()
+Task<Result<state::StoredFence>>
+EngineReconciler::ReadFence()
 {
   const auto found = co_await mPlatform.Read(mFenceKey);
   if (!found) {
     co_return tl::unexpected(found.error());
   }
-  state::HeldFence held;
+  state::StoredFence held;
   if (*found) {
     const auto record = state::ReadFenceRecord((*found)->mValue);
     if (!record) {
@@ -191,7 +192,7 @@
 }
 
 Task<void>
-EngineOrders::PauseAfterFailure()
+EngineReconciler::PauseAfterFailure()
 {
   std::uniform_int_distribution<std::int64_t> jitter(kFailurePause.count(),
                                                      2 * kFailurePause.count());
@@ -199,7 +200,7 @@
 }
 
 Task<void>
-EngineOrders::WaitForStreams()
+EngineReconciler::WaitForStreams()
 {
   const auto until = state::BootClock::now() + mSettings.mDrainTimeout;
   while (mCompanion.Running() > 0 && state::BootClock::now() < until) {
@@ -208,7 +209,7 @@
 }
 
 Task<bool>
-EngineOrders::IsMyTurn(std::string aModel, std::uint32_t aWeights)
+EngineReconciler::IsMyTurn(std::string aModel, std::uint32_t aWeights)
 {
   if (mCompanion.LastState().mModel != aModel) {
     co_return true; // It serves nothing of this model that could be missed.
--- a/packages/coordination/src/fleet_daemon.cpp
+++ b/packages/coordination/src/fleet_daemon.cpp
@@ -9,15 +9,15 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "path_server.h"
-#include "shuntjunction/coordination/engine_gate.h"
+#include "shuntjunction/coordination/throttled_engine_control.h"
 #include "shuntjunction/coordination/engine_news.h"
-#include "shuntjunction/coordination/engine_watch.h"
+#include "shuntjunction/coordination/engine_monitor.h"
 #include "shuntjunction/coordination/part_follower.h"
-#include "shuntjunction/coordination/part_store_teller.h"
-#include "shuntjunction/coordination/quarantine_keeper.h"
+#include "shuntjunction/coordination/part_store_reporter.h"
+#include "shuntjunction/coordination/quarantine_writer.h"
 #include "shuntjunction/coordination/relay.h"
-#include "shuntjunction/coordination/weights_keeper.h"
-#include "shuntjunction/coordination/zone_watch.h"
+#include "shuntjunction/coordination/weights_controller.h"
+#include "shuntjunction/coordination/zone_mirror.h"
 
 namespace shuntjunction::coordination {
 
@@ -69,7 +69,7 @@
     , mControlGuard(asio::make_work_guard(mControl))
     , mSignals(mTraffic, SIGTERM, SIGINT, SIGHUP)
     , mZone(mControl,
-            ZoneSettingsOf(aSettings, aAdapter.mStoreCodec),
+            MakeMirroredPlatformSettings(aSettings, aAdapter.mStoreCodec),
             aAdapter.mPlatform,
             mClock,
             mLog)
@@ -81,7 +81,7 @@
             mLog,
             mZone.Mirror(),
             [this](std::shared_ptr<const RelayView> aView) {
-              TakeView(std::move(aView));
+              ApplyView(std::move(aView));
             })
   {
   }
@@ -141,7 +141,7 @@
     mMetrics.Set("shuntjunction_log_lines_dropped",
                  static_cast<double>(mLog.Dropped()));
     mMetrics.Set("shuntjunction_watch_served",
-                 mZone.Store().IsServed() ? 1 : 0);
+                 mZone.Store().IsMirrored() ? 1 : 0);
     for (std::size_t i = 0; i < kStoreCallNames.Size(); ++i) {
       const auto call = static_cast<StoreCall>(i);
       mMetrics.Set("shuntjunction_store_calls",
@@ -149,7 +149,7 @@
                    { { "call", std::string(kStoreCallNames.Name(call)) } });
     }
     mMetrics.Set("shuntjunction_watch_answers",
-                 static_cast<double>(mZone.Store().Answers()));
+                 static_cast<double>(mZone.Store().MirrorResponses()));
     mMetrics.Set("shuntjunction_refused_objects",
                  static_cast<double>(mFeed.RefusedObjects()));
     if (mRelay) {
@@ -190,9 +190,10 @@
 
   Result<void> StartRelay()
   {
-    mQuarantine = std::make_unique<QuarantineKeeper>(QuarantineKeeperParts{
-      mControl, mZone.Store(), mAdapter.mStoreCodec, mClock, mLog });
-    mRelay = std::make_unique<Relay>(RelayParts{
+    mQuarantine =
+      std::make_unique<QuarantineWriter>(QuarantineWriterDependencies{
+        mControl, mZone.Store(), mAdapter.mStoreCodec, mClock, mLog });
+    mRelay = std::make_unique<Relay>(RelayDependencies{
       mTraffic,
       mSettings,
       mAdapter.mRelayCodec,
@@ -202,32 +203,32 @@
       mLog,
       mMetrics,
       [this](const auto& aAddress, const auto& aReading) {
-        mNewsClient->Tell(aAddress, aReading);
+        mNewsClient->SendPartReading(aAddress, aReading);
       },
       [this](const auto& aAddress, const auto& aWaiting, const auto& aPart) {
         mNewsClient->SetWaiting(aAddress, aWaiting, aPart);
       },
       [this](auto aEndpoint, const auto& aReports) {
-        mNewsClient->TellCrashes(aEndpoint, aReports);
+        mNewsClient->SendCrashReports(aEndpoint, aReports);
       },
       [this](auto aHost, auto aAsk) {
-        return mNewsClient->AskShare(std::move(aHost), aAsk);
+        return mNewsClient->RequestShare(std::move(aHost), aAsk);
       },
       [this](const auto& aHost, const auto& aBack) {
         mNewsClient->ReturnShare(aHost, aBack);
       },
       [this](auto aHost, auto aAsk) {
-        return mNewsClient->AskPlace(std::move(aHost), aAsk);
+        return mNewsClient->RequestPermit(std::move(aHost), aAsk);
       },
       [this](const auto& aHost, auto aEndpoint) {
-        mNewsClient->ReturnPlace(aHost, aEndpoint);
+        mNewsClient->ReturnPermit(aHost, aEndpoint);
       },
       [this](const auto& aHost, const auto& aReport) {
         mNewsClient->ReportRate(aHost, aReport);
       },
       [this](const auto& aRequest, auto aFor) {
         asio::post(mControl, [this, request = aRequest, aFor] {
-          mQuarantine->Keep(request, aFor);
+          mQuarantine->StoreQuarantine(request, aFor);
         });
       } });
     const auto address = mRelay->Start();
@@ -243,15 +244,17 @@
       Identity(),
       peers->mPort,
       mLog,
-      [this](const protocol::EngineNews& aNews) { mRelay->TakeNews(aNews); },
+      [this](const protocol::EngineNews& aNews) { mRelay->ApplyNews(aNews); },
       [this](const protocol::PartReading& aReading) {
-        mRelay->TakePartReading(aReading);
+        mRelay->ApplyPartReading(aReading);
       },
       [this](const protocol::CrashReports& aReports) {
-        mRelay->TakeCrashReports(aReports);
+        mRelay->ApplyCrashReports(aReports);
       },
-      [this](const state::RateNews& aNews) { mRelay->TakeRateNews(aNews); },
-      [this](const std::string& aHost) { mRelay->TakeNewsEnd(aHost); });
+      [this](const state::RateNews& aNews) { mRelay->ApplyRateNews(aNews); },
+      [this](const std::string& aHost) {
+        mRelay->HandleNewsConnectionEnd(aHost);
+      });
     return Serve(
       mReadiness, mSettings.mReadiness, mSettings.mReadinessPath, [this] {
         return mRelay->IsReady() ? PlainAnswer(200, "ready\n")
@@ -293,14 +296,14 @@
     }
     mNewsServer =
       std::make_unique<EngineNewsServer>(mControl, Identity(), mClock, mLog);
-    state::ShareKeeperSettings shares;
+    state::LimitSharesSettings shares;
     // A relay that hears of no list for longer refuses all keys.
-    shares.mListings.mHandover = mSettings.mBounds.mKeyRemoval;
+    shares.mOwnership.mHandover = mSettings.mBounds.mKeyRemoval;
     shares.mBurstTolerance = mSettings.mBounds.mUsageTolerance / 2;
-    mShares = std::make_unique<state::ShareKeeper>(shares, peers->mHost);
+    mShares = std::make_unique<state::LimitShares>(shares, peers->mHost);
     mLimits =
       std::make_unique<state::EndpointLimits>(state::EndpointLimitsSettings{},
-                                              mShares->Listings(),
+                                              mShares->Ownership(),
                                               std::random_device{}());
     mNewsServer->SetLimits(*mShares, *mLimits);
     const auto bound = mNewsServer->Start(*peers);
@@ -312,7 +315,7 @@
 
   std::unique_ptr<EngineControl> MakeControl(const state::Address& aAddress)
   {
-    return std::make_unique<EngineGate>(
+    return std::make_unique<ThrottledEngineControl>(
       mAdapter.mMakeControl(aAddress), mClock, mLog);
   }
 
@@ -328,37 +331,38 @@
       },
       [this] { mNewsServer->ClearParts(PartHolder::kEngine); });
     mParts->Start();
-    mWatch = std::make_unique<EngineWatch>(
+    mWatch = std::make_unique<EngineMonitor>(
       mControl, *mEngine, *mNewsServer, [this](const auto& aReport) {
-        mKeeper->TakeReport(aReport);
+        mKeeper->ApplyReport(aReport);
       });
     mWatch->Start();
   }
 
   void StartStoreTeller()
   {
-    mStoreTeller = std::make_unique<PartStoreTeller>(PartStoreTellerParts{
-      mControl,
-      mSettings,
-      mZone.Store(),
-      mAdapter.mStoreCodec,
-      [this](const auto& aAddress) { return MakeControl(aAddress); },
-      *mNewsServer,
-      mLog });
+    mStoreTeller =
+      std::make_unique<PartStoreReporter>(PartStoreReporterDependencies{
+        mControl,
+        mSettings,
+        mZone.Store(),
+        mAdapter.mStoreCodec,
+        [this](const auto& aAddress) { return MakeControl(aAddress); },
+        *mNewsServer,
+        mLog });
     mStoreTeller->Start();
   }
 
   void StartKeeper()
   {
-    mKeeper =
-      std::make_unique<WeightsKeeper>(WeightsKeeperParts{ mControl,
-                                                          mSettings,
-                                                          mZone.Store(),
-                                                          mAdapter.mStoreCodec,
-                                                          *mEngine,
-                                                          *mNewsServer,
-                                                          mClock,
-                                                          mLog });
+    mKeeper = std::make_unique<WeightsController>(
+      WeightsControllerDependencies{ mControl,
+                                     mSettings,
+                                     mZone.Store(),
+                                     mAdapter.mStoreCodec,
+                                     *mEngine,
+                                     *mNewsServer,
+                                     mClock,
+                                     mLog });
     mKeeper->Start();
   }
 
@@ -384,20 +388,20 @@
   }
 
   /// On the control thread: hands a view to whom it concerns.
-  void TakeView(std::shared_ptr<const RelayView> aView)
+  void ApplyView(std::shared_ptr<const RelayView> aView)
   {
-    mZone.TakeEndpoints(aView->mEndpoints);
+    mZone.ApplyEndpoints(aView->mEndpoints);
     if (mKeeper) {
       TakeCompanions(aView->mEndpoints);
-      mStoreTeller->TakeView(aView);
-      mKeeper->TakeView(std::move(aView));
+      mStoreTeller->ApplyView(aView);
+      mKeeper->ApplyView(std::move(aView));
       return;
     }
-    mQuarantine->TakeView(aView);
+    mQuarantine->ApplyView(aView);
     asio::post(mTraffic, [this, view = std::move(aView)]() mutable {
       const bool wasReady = mRelay->IsReady();
       mNewsClient->Follow(view->mEndpoints);
-      mRelay->TakeView(std::move(view));
+      mRelay->ApplyView(std::move(view));
       if (!wasReady && mRelay->IsReady()) {
         mLog.Write(EventLine(kPart, "ready"));
       }
@@ -407,12 +411,12 @@
   void TakeCompanions(const std::vector<state::EndpointInfo>& aEndpoints)
   {
     std::vector<std::string> hosts;
-    for (const auto& [host, zone] : CompanionsOf(aEndpoints)) {
+    for (const auto& [host, zone] : CompanionZones(aEndpoints)) {
       hosts.push_back(host);
     }
     const auto count = hosts.size();
     if (mShares->SetHosts(std::move(hosts), mClock.Now())) {
-      mLimits->ForgetOthers();
+      mLimits->ForgetUnowned();
       mLog.Write(EventLine(kPart, "limit-keepers").Add("companions", count));
     }
   }
@@ -491,19 +495,19 @@
   asio::io_context mTraffic{ 1 };
   WorkGuard mControlGuard;
   asio::signal_set mSignals;
-  ZoneWatch mZone;
+  ZoneMirror mZone;
   RelayFeed mFeed;
-  std::unique_ptr<QuarantineKeeper> mQuarantine;
+  std::unique_ptr<QuarantineWriter> mQuarantine;
   std::unique_ptr<Relay> mRelay;
   std::unique_ptr<EngineNewsClient> mNewsClient;
-  std::unique_ptr<state::ShareKeeper> mShares;
+  std::unique_ptr<state::LimitShares> mShares;
   std::unique_ptr<state::EndpointLimits> mLimits;
   std::unique_ptr<EngineNewsServer> mNewsServer;
   std::unique_ptr<EngineControl> mEngine;
   std::unique_ptr<PartFollower> mParts;
-  std::unique_ptr<EngineWatch> mWatch;
-  std::unique_ptr<PartStoreTeller> mStoreTeller;
-  std::unique_ptr<WeightsKeeper> mKeeper;
+  std::unique_ptr<EngineMonitor> mWatch;
+  std::unique_ptr<PartStoreReporter> mStoreTeller;
+  std::unique_ptr<WeightsController> mKeeper;
   std::unique_ptr<PathServer> mReadiness;
   std::unique_ptr<PathServer> mMetricsServer;
   bool mIsStopping = false;
--- a/packages/coordination/src/http_platform.cpp
+++ b/packages/coordination/src/http_platform.cpp
@@ -176,7 +176,7 @@
   co_return Result<void>{};
 }
 
-Task<Result<WatchAnswer>>
+Task<Result<WatchResult>>
 HttpPlatform::Watch(std::string aPrefix, std::uint64_t aAfter, Millis aWait)
 {
   constexpr std::string_view kStep = "platform.watch";
@@ -189,7 +189,7 @@
   if (!answer) {
     co_return tl::unexpected(answer.error());
   }
-  WatchAnswer watch;
+  WatchResult watch;
   if (answer->mStatus == kGone) {
     watch.mIsGap = true;
     co_return watch;
--- a/packages/coordination/src/metrics.cpp
+++ b/packages/coordination/src/metrics.cpp
@@ -21,12 +21,12 @@
 };
 
 const std::array<double, Histogram::kBuckets>&
-BoundsOf(RequestMeasure aMeasure)
+BoundsOf(RequestMetric aMeasure)
 {
   switch (aMeasure) {
-    case RequestMeasure::kCachedShare:
+    case RequestMetric::kCachedShare:
       return kShareBounds;
-    case RequestMeasure::kRecomputed:
+    case RequestMetric::kRecomputed:
       return kBlocksBounds;
     default:
       return kSecondsBounds;
@@ -96,7 +96,7 @@
 }
 
 void
-Metrics::Observe(RequestMeasure aMeasure,
+Metrics::Observe(RequestMetric aMeasure,
                  std::string_view aTeam,
                  state::Priority aPriority,
                  double aValue)
@@ -153,7 +153,7 @@
   }
   for (std::size_t i = 0; i < mRequests.size(); ++i) {
     const std::string name(
-      kRequestMeasureNames.Name(static_cast<RequestMeasure>(i)));
+      kRequestMetricNames.Name(static_cast<RequestMetric>(i)));
     for (const auto& [key, histogram] : mRequests[i]) {
       auto metric = WithLabels(
         { { "team", key.mTeam },
--- a/packages/coordination/src/zone_platform.cpp
+++ b/packages/coordination/src/mirrored_platform.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/zone_platform.h"
+#include "shuntjunction/coordination/mirrored_platform.h"
 
 #include <algorithm>
 #include <random>
@@ -7,7 +7,7 @@
 
 using state::Millis;
 using state::MirroredTopic;
-using state::MirrorPage;
+using state::MirrorUpdate;
 using state::RawObject;
 using state::Result;
 using state::TimePoint;
@@ -24,11 +24,11 @@
 
 } // namespace
 
-ZonePlatform::ZonePlatform(asio::io_context& aContext,
-                           const ZonePlatformSettings& aSettings,
-                           Platform& aStore,
-                           const state::Clock& aClock,
-                           EventLog& aLog)
+MirroredPlatform::MirroredPlatform(asio::io_context& aContext,
+                                   const MirroredPlatformSettings& aSettings,
+                                   Platform& aStore,
+                                   const state::Clock& aClock,
+                                   EventLog& aLog)
   : mContext(aContext)
   , mSettings(aSettings)
   , mStore(aStore)
@@ -37,28 +37,29 @@
   , mClient(aContext,
             aSettings.mName,
             aSettings.mSecret,
-            aSettings.mAnswerTimeout)
+            aSettings.mResponseTimeout)
   , mMirror(0)
   , mRandom(std::random_device{}())
 {
 }
 
 void
-ZonePlatform::Start()
+MirroredPlatform::Start()
 {
   transport::Spawn(mContext, Run());
 }
 
 void
-ZonePlatform::TakeEndpoints(const std::vector<state::EndpointInfo>& aEndpoints)
+MirroredPlatform::ApplyEndpoints(
+  const std::vector<state::EndpointInfo>& aEndpoints)
 {
   const auto engines =
-    state::ZoneWatchersOf(aEndpoints, mSettings.mZone, mSettings.mWatchers);
-  mIsWatcher = !engines.empty() && engines.front() == mSettings.mOwnEngine;
+    state::SelectZoneWatchers(aEndpoints, mSettings.mZone, mSettings.mWatchers);
+  mIsWatcher = !engines.empty() && engines.front() == mSettings.mLocalEngine;
   mWatchers.clear();
   for (const auto& engine : engines) {
     const auto address = state::ParseAddress(engine);
-    if (address && engine != mSettings.mOwnEngine) {
+    if (address && engine != mSettings.mLocalEngine) {
       mWatchers.push_back(
         state::Address{ address->mHost, mSettings.mWatchPort }.Text());
     }
@@ -66,20 +67,20 @@
 }
 
 void
-ZonePlatform::NoteAsked()
+MirroredPlatform::NoteRequest()
 {
   mAskedAt = mClock.Now();
   SetServed(false);
 }
 
 bool
-ZonePlatform::IsAsked() const
+MirroredPlatform::HasRecentRequests() const
 {
   return mAskedAt && mClock.Now() - *mAskedAt < kAskedFor;
 }
 
 void
-ZonePlatform::Count(StoreCall aCall)
+MirroredPlatform::Count(StoreCall aCall)
 {
   ++mCalls[static_cast<std::size_t>(aCall)];
 }
@@ -87,25 +88,25 @@
 // Asking.
 
 Task<void>
-ZonePlatform::Run()
+MirroredPlatform::Run()
 {
   while (true) {
-    const auto outcome = co_await AskWatchers();
-    SetServed(outcome == AskOutcome::kServed && !IsAsked());
-    co_await transport::Sleep(state::SpreadPause(outcome == AskOutcome::kSilent
-                                                   ? mSettings.mOwnTime
-                                                   : mSettings.mAskInterval,
-                                                 mRandom));
+    const auto outcome = co_await QueryWatchers();
+    SetServed(outcome == AskOutcome::kServed && !HasRecentRequests());
+    co_await transport::Sleep(state::JitteredPause(
+      outcome == AskOutcome::kSilent ? mSettings.mFallbackDuration
+                                     : mSettings.mAskInterval,
+      mRandom));
   }
 }
 
-Task<ZonePlatform::AskOutcome>
-ZonePlatform::AskWatchers()
+Task<MirroredPlatform::AskOutcome>
+MirroredPlatform::QueryWatchers()
 {
   auto outcome = AskOutcome::kNobody;
   const auto watchers = mWatchers;
   for (const auto& watcher : watchers) {
-    if (mIsWatcher || IsAsked()) {
+    if (mIsWatcher || HasRecentRequests()) {
       co_return AskOutcome::kNobody;
     }
     const auto answered = co_await Ask(watcher);
@@ -117,8 +118,8 @@
   co_return outcome;
 }
 
-Task<ZonePlatform::AskOutcome>
-ZonePlatform::Ask(std::string aAddress)
+Task<MirroredPlatform::AskOutcome>
+MirroredPlatform::Ask(std::string aAddress)
 {
   // What these two count is up to who is asked: here a mirror's pages.
   protocol::SnapshotRequest request;
@@ -129,7 +130,7 @@
   if (!reply) {
     co_return AskOutcome::kSilent;
   }
-  const auto page = state::ReadMirrorPage(reply->mText, aAddress);
+  const auto page = state::ReadMirrorUpdate(reply->mText, aAddress);
   if (!page) {
     mLog.Write(
       EventLine(kPart, "page-refused").Add("error", page.error().Describe()));
@@ -147,20 +148,20 @@
 }
 
 bool
-ZonePlatform::IsFresh(const MirrorPage& aPage) const
+MirroredPlatform::IsFresh(const MirrorUpdate& aPage) const
 {
   const auto isKnown = [&](const std::string& aPrefix) {
     const auto* topic = aPage.Topic(aPrefix);
-    return topic != nullptr && topic->mKnown != 0;
+    return topic != nullptr && topic->mKnownRevision != 0;
   };
   const auto& prefixes = mSettings.mPrefixes;
   const auto* confirmed = aPage.Topic(mSettings.mConfirmed);
   return std::all_of(prefixes.begin(), prefixes.end(), isKnown) &&
-         confirmed != nullptr && confirmed->mAge < mSettings.mMostAge;
+         confirmed != nullptr && confirmed->mAge < mSettings.mMaxAge;
 }
 
 void
-ZonePlatform::SetServed(bool aIsServed)
+MirroredPlatform::SetServed(bool aIsServed)
 {
   if (mIsServed.exchange(aIsServed) == aIsServed) {
     return;
@@ -174,7 +175,7 @@
 // Waiting.
 
 void
-ZonePlatform::WakeWaiting()
+MirroredPlatform::WakeWaiting()
 {
   for (auto& timer : mWaiting) {
     timer.cancel();
@@ -182,7 +183,7 @@
 }
 
 Task<void>
-ZonePlatform::WaitForNews(TimePoint aUntil)
+MirroredPlatform::WaitForNews(TimePoint aUntil)
 {
   const auto timer = mWaiting.emplace(mWaiting.end(), mContext, aUntil);
   co_await timer->async_wait(transport::kAsTuple);
@@ -190,33 +191,33 @@
 }
 
 bool
-ZonePlatform::IsServedFor(std::string_view aPrefix) const
+MirroredPlatform::IsServedFor(std::string_view aPrefix) const
 {
   return mIsServed && mMirror.Topic(aPrefix) != nullptr;
 }
 
-SecondHand
-ZonePlatform::Source(const MirroredTopic& aTopic) const
+MirrorFreshness
+MirroredPlatform::Source(const MirroredTopic& aTopic) const
 {
-  return { aTopic.mAsOf, mMirror.TroubleAt() };
+  return { aTopic.mAsOf, mMirror.LastPlatformFailure() };
 }
 
 // Calls.
 
 std::optional<ObjectList>
-ZonePlatform::ListHere(std::string_view aPrefix) const
+MirroredPlatform::ListHere(std::string_view aPrefix) const
 {
   if (!IsServedFor(aPrefix)) {
     return std::nullopt;
   }
   const auto& topic = *mMirror.Topic(aPrefix);
-  return ObjectList{ topic.mKnown,
+  return ObjectList{ topic.mKnownRevision,
                      mMirror.List(aPrefix, mClock.Now()),
                      Source(topic) };
 }
 
 Task<Result<ObjectList>>
-ZonePlatform::List(std::string aPrefix)
+MirroredPlatform::List(std::string aPrefix)
 {
   if (auto list = ListHere(aPrefix)) {
     co_return std::move(*list);
@@ -226,17 +227,17 @@
 }
 
 Task<Result<ObjectList>>
-ZonePlatform::Glance(std::string aPrefix)
+MirroredPlatform::ListCached(std::string aPrefix)
 {
   if (auto list = ListHere(aPrefix)) {
     co_return std::move(*list);
   }
-  Count(StoreCall::kGlance);
-  co_return co_await mStore.Glance(std::move(aPrefix));
+  Count(StoreCall::kListCached);
+  co_return co_await mStore.ListCached(std::move(aPrefix));
 }
 
-Task<Result<WatchAnswer>>
-ZonePlatform::Watch(std::string aPrefix, std::uint64_t aAfter, Millis aWait)
+Task<Result<WatchResult>>
+MirroredPlatform::Watch(std::string aPrefix, std::uint64_t aAfter, Millis aWait)
 {
   if (!IsServedFor(aPrefix)) {
     Count(StoreCall::kWatch);
@@ -244,22 +245,22 @@
   }
   const auto until = mClock.Now() + aWait;
   const auto answers = mAnswers.load();
-  WatchAnswer answer;
+  WatchResult answer;
   answer.mRevision = aAfter;
   while (IsServedFor(aPrefix)) {
     const auto now = mClock.Now();
     const auto& topic = *mMirror.Topic(aPrefix);
     auto changes = mMirror.ChangesAfter(aPrefix, aAfter, now);
     answer.mIsGap = !changes;
-    answer.mRevision = std::max(aAfter, topic.mKnown);
-    answer.mSecondHand = Source(topic);
+    answer.mRevision = std::max(aAfter, topic.mKnownRevision);
+    answer.mMirrorFreshness = Source(topic);
     const bool isConfirmed =
       mAnswers != answers && aPrefix == mSettings.mConfirmed;
     if (!changes || !changes->empty()) {
       answer.mChanges = changes ? std::move(*changes) : answer.mChanges;
       break;
     }
-    if (isConfirmed || topic.mKnown > aAfter || now >= until) {
+    if (isConfirmed || topic.mKnownRevision > aAfter || now >= until) {
       break;
     }
     co_await WaitForNews(until);
@@ -268,36 +269,36 @@
 }
 
 Task<Result<std::optional<RawObject>>>
-ZonePlatform::Read(std::string aKey)
+MirroredPlatform::Read(std::string aKey)
 {
   Count(StoreCall::kRead);
   return mStore.Read(std::move(aKey));
 }
 
 Task<Result<std::uint64_t>>
-ZonePlatform::Write(std::string aKey,
-                    std::string aValue,
-                    std::uint64_t aIfRevision)
+MirroredPlatform::Write(std::string aKey,
+                        std::string aValue,
+                        std::uint64_t aIfRevision)
 {
   Count(StoreCall::kWrite);
   return mStore.Write(std::move(aKey), std::move(aValue), aIfRevision);
 }
 
 Task<Result<void>>
-ZonePlatform::Delete(std::string aKey, std::uint64_t aIfRevision)
+MirroredPlatform::Delete(std::string aKey, std::uint64_t aIfRevision)
 {
   Count(StoreCall::kWrite);
   return mStore.Delete(std::move(aKey), aIfRevision);
 }
 
 Task<Result<InstanceList>>
-ZonePlatform::Instances(std::uint64_t aAfter, Millis aWait)
+MirroredPlatform::Instances(std::uint64_t aAfter, Millis aWait)
 {
   return mStore.Instances(aAfter, aWait);
 }
 
 void
-ZonePlatform::AbandonCalls()
+MirroredPlatform::AbandonCalls()
 {
   WakeWaiting();
   mStore.AbandonCalls();
--- a/packages/coordination/src/part_follower.cpp
+++ b/packages/coordination/src/part_follower.cpp
@@ -14,7 +14,7 @@
 constexpr Millis kWait{ 1000 };
 
 /// Between two calls, so that several changes come with each.
-constexpr Millis kGroupPause{ 60 };
+constexpr Millis kBatchPause{ 60 };
 
 /// After a failed call.
 constexpr Millis kRetryPause{ 400 };
@@ -24,13 +24,13 @@
 PartFollower::PartFollower(transport::asio::io_context& aContext,
                            EngineControl& aSource,
                            EventLog& aLog,
-                           Taker aTake,
-                           std::function<void()> aClear)
+                           Handler aTake,
+                           std::function<void()> aOnClear)
   : mContext(aContext)
   , mSource(aSource)
   , mLog(aLog)
   , mTake(std::move(aTake))
-  , mClear(std::move(aClear))
+  , mOnClear(std::move(aOnClear))
 {
 }
 
@@ -58,7 +58,7 @@
       mLog.Write(EventLine("parts", "source-regained"));
     }
     Take(*changes);
-    co_await transport::Sleep(kGroupPause);
+    co_await transport::Sleep(kBatchPause);
   }
 }
 
@@ -68,7 +68,7 @@
   if (aChanges.mEpoch != mEpoch) {
     const bool isAskedFromBefore = mNext != 0;
     mEpoch = aChanges.mEpoch;
-    mClear();
+    mOnClear();
     if (isAskedFromBefore) {
       // Asked from a position of its former life: all of this one is wanted.
       mNext = 0;
@@ -90,7 +90,7 @@
     (isKept ? gained : lost).push_back(name);
   }
   if (!gained.empty() || !lost.empty()) {
-    mTake(aChanges.mLife, gained, lost);
+    mTake(aChanges.mEndpointIncarnation, gained, lost);
   }
 }
 
--- a/packages/coordination/src/part_store_teller.cpp
+++ b/packages/coordination/src/part_store_reporter.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/part_store_teller.h"
+#include "shuntjunction/coordination/part_store_reporter.h"
 
 #include <algorithm>
 
@@ -26,25 +26,26 @@
 
 } // namespace
 
-PartStoreTeller::PartStoreTeller(const PartStoreTellerParts& aParts)
+PartStoreReporter::PartStoreReporter(
+  const PartStoreReporterDependencies& aParts)
   : mParts(aParts)
 {
 }
 
 void
-PartStoreTeller::Start()
+PartStoreReporter::Start()
 {
   transport::Spawn(mParts.mContext, Run());
 }
 
 void
-PartStoreTeller::TakeView(std::shared_ptr<const RelayView> aView)
+PartStoreReporter::ApplyView(std::shared_ptr<const RelayView> aView)
 {
   mView = std::move(aView);
 }
 
 std::optional<std::size_t>
-PartStoreTeller::Rank() const
+PartStoreReporter::Rank() const
 {
   const auto& own = mParts.mSettings.mEngine;
   const auto hash = state::PlacementHash(own);
@@ -61,7 +62,7 @@
 }
 
 Task<void>
-PartStoreTeller::Run()
+PartStoreReporter::Run()
 {
   while (!mFollower) {
     co_await transport::Sleep(kLookInterval);
@@ -95,7 +96,7 @@
 }
 
 Task<std::optional<std::string>>
-PartStoreTeller::FindStore(std::size_t aRank)
+PartStoreReporter::FindStore(std::size_t aRank)
 {
   const auto list =
     co_await mParts.mPlatform.List(mParts.mCodec.ConfigPrefix());
@@ -108,7 +109,7 @@
     }
     const auto rules = mParts.mCodec.ReadRules(object.mValue);
     if (rules) {
-      const auto& stores = rules->mPartStores;
+      const auto& stores = rules->mKvStores;
       const std::size_t tellers =
         kTellersOfStore * std::min(stores.size(), kMostStores);
       std::string address;
--- a/packages/coordination/src/peer_link.cpp
+++ b/packages/coordination/src/peer_link.cpp
@@ -199,9 +199,9 @@
 }
 
 std::uint64_t
-PeerLink::VersionNews(std::uint64_t aVersion)
+PeerLink::UnannouncedVersion(std::uint64_t aVersion)
 {
-  return mChannel ? mChannel->VersionNews(aVersion) : 0;
+  return mChannel ? mChannel->UnannouncedVersion(aVersion) : 0;
 }
 
 void
--- a/packages/coordination/src/platform.cpp
+++ b/packages/coordination/src/platform.cpp
@@ -54,7 +54,7 @@
   std::vector<state::InstanceInfo> instances;
   const auto* items = aReader.Find("instances");
   if (items == nullptr || !items->is_array()) {
-    aReader.Note("instances", "absent", "a list of instances");
+    aReader.AddError("instances", "absent", "a list of instances");
     return instances;
   }
   for (const auto& item : items->as_array()) {
--- a/packages/coordination/src/quarantine_keeper.cpp
+++ b/packages/coordination/src/quarantine_writer.cpp
@@ -1,9 +1,9 @@
-#include "shuntjunction/coordination/quarantine_keeper.h"
+#include "shuntjunction/coordination/quarantine_writer.h"
 
 #include <algorithm>
 #include <random>
 
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 namespace shuntjunction::coordination {
 
@@ -30,14 +30,14 @@
 
 } // namespace
 
-struct QuarantineKeeper::Shared : std::enable_shared_from_this<Shared>
+struct QuarantineWriter::Shared : std::enable_shared_from_this<Shared>
 {
-  explicit Shared(const QuarantineKeeperParts& aParts)
+  explicit Shared(const QuarantineWriterDependencies& aParts)
     : mParts(aParts)
   {
   }
 
-  Task<void> Keep(RequestDigest aRequest, std::int64_t aUntil)
+  Task<void> StoreQuarantine(RequestDigest aRequest, std::int64_t aUntil)
   {
     const auto self = shared_from_this();
     Millis pause = kFirstPause;
@@ -53,7 +53,7 @@
       mParts.mLog.Write(EventLine(kPart, "quarantine-unkept")
                           .Add("content", aRequest.Text())
                           .Add("error", written.error().Describe()));
-      co_await transport::Sleep(state::SpreadPause(pause, mRandom));
+      co_await transport::Sleep(state::JitteredPause(pause, mRandom));
       pause = std::min(pause * 2, kLongestPause);
     }
     mPending.erase(aRequest);
@@ -116,21 +116,21 @@
     }
   }
 
-  QuarantineKeeperParts mParts;
+  QuarantineWriterDependencies mParts;
   std::shared_ptr<const RelayView> mView;
   std::set<RequestDigest> mPending;
   state::RandomSource mRandom{ std::random_device{}() };
 };
 
-QuarantineKeeper::QuarantineKeeper(const QuarantineKeeperParts& aParts)
+QuarantineWriter::QuarantineWriter(const QuarantineWriterDependencies& aParts)
   : mShared(std::make_shared<Shared>(aParts))
 {
 }
 
-QuarantineKeeper::~QuarantineKeeper() = default;
+QuarantineWriter::~QuarantineWriter() = default;
 
 void
-QuarantineKeeper::Keep(const RequestDigest& aRequest, Millis aFor)
+QuarantineWriter::StoreQuarantine(const RequestDigest& aRequest, Millis aFor)
 {
   auto& shared = *mShared;
   if (shared.mPending.size() >= kMostPending ||
@@ -138,11 +138,12 @@
     return;
   }
   const auto until = shared.mParts.mClock.WallMillis() + aFor.count();
-  transport::Spawn(shared.mParts.mContext, shared.Keep(aRequest, until));
+  transport::Spawn(shared.mParts.mContext,
+                   shared.StoreQuarantine(aRequest, until));
 }
 
 void
-QuarantineKeeper::TakeView(std::shared_ptr<const RelayView> aView)
+QuarantineWriter::ApplyView(std::shared_ptr<const RelayView> aView)
 {
   mShared->mView = std::move(aView);
 }
--- a/packages/coordination/src/relay.cpp
+++ b/packages/coordination/src/relay.cpp
@@ -25,7 +25,7 @@
 /// How often the use of endpoints' rates is logged.
 constexpr Millis kRatesInterval{ 1000 };
 /// Connections that are taken in one turn, so that other work goes on.
-constexpr int kMostAccepts = 64;
+constexpr int kMaxAcceptsPerTurn = 64;
 /// Files, the store, listening sockets, checks of the balancer, and processes
 /// that ask this one.
 constexpr std::int64_t kReservedDescriptors = 300;
@@ -56,7 +56,7 @@
 void
 AcceptWaiting(const std::shared_ptr<Relay::Core>& aCore)
 {
-  for (int i = 0; i < kMostAccepts; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     boost::system::error_code error;
     auto socket = aCore->mAcceptor->accept(aCore->mParts.mContext, error);
     if (error) {
@@ -88,13 +88,13 @@
   auto& guard = aCore->mGuard;
   const auto& clock = aCore->mParts.mClock;
   while (true) {
-    const auto due = clock.Now() + guard.Settings().mTick;
-    co_await transport::Sleep(guard.Settings().mTick);
+    const auto due = clock.Now() + guard.Settings().mCheckInterval;
+    co_await transport::Sleep(guard.Settings().mCheckInterval);
     const bool wasOverloaded = guard.IsOverloaded();
     const auto late = std::chrono::duration_cast<Millis>(clock.Now() - due);
-    guard.NoteLook(late);
+    guard.NoteTimerDelay(late);
     if (guard.IsOverloaded() != wasOverloaded) {
-      aCore->mParts.mLog.Write(EventLine(kRelayPart, "overload")
+      aCore->mParts.mLog.Write(EventLine(kRelayComponent, "overload")
                                  .Add("is", guard.IsOverloaded())
                                  .Add("late_ms", late.count())
                                  .Add("active", aCore->mActive)
@@ -111,7 +111,7 @@
     co_await transport::Sleep(kRatesInterval);
     for (const auto& endpoint : aCore->mEndpoints.Limited()) {
       const auto& rate = *endpoint->mRate;
-      if (rate.mSent + rate.mWithoutPlace > 0) {
+      if (rate.mSent + rate.mWithoutPermit > 0) {
         aCore->mRates.LogUse(*endpoint, "used");
       }
     }
@@ -123,7 +123,7 @@
 {
   while (true) {
     co_await transport::Sleep(kStoppedInterval);
-    aCore->mEndpoints.WakeAtStopped(aCore->mParts.mClock.Now());
+    aCore->mEndpoints.WakeRequestsAtStopped(aCore->mParts.mClock.Now());
   }
 }
 
@@ -138,7 +138,7 @@
 
 } // namespace
 
-Relay::Core::Core(const RelayParts& aParts)
+Relay::Core::Core(const RelayDependencies& aParts)
   : mParts(aParts)
   , mDescriptors({ mParts.mSettings.mDescriptors, kReservedDescriptors })
   , mEndpoints(RelayEndpointSettings{})
@@ -147,7 +147,7 @@
   , mRates(mParts, mShares)
   , mNotices(mParts)
   , mLedger(mLimits.mMaxParts)
-  , mReadingRate(mLimits.mFirstToken)
+  , mPrefillRate(mLimits.mFirstToken)
   , mRandom(std::random_device{}())
 {
 }
@@ -169,9 +169,9 @@
 }
 
 void
-Relay::Core::NoteRelays(std::uint32_t aRelays)
+Relay::Core::UpdateRelayCount(std::uint32_t aRelays)
 {
-  mMostRelays = std::max(mMostRelays, aRelays);
+  mMaxRelays = std::max(mMaxRelays, aRelays);
 }
 
 bool
@@ -181,16 +181,16 @@
                                              mLimits.mBytesPerSession);
   const auto callers = static_cast<std::int64_t>(mSessions.size());
   return mGuard.IsOverloaded() || mSessions.size() >= most ||
-         callers >= mDescriptors.MostCallers();
+         callers >= mDescriptors.MaxCallers();
 }
 
 bool
 Relay::Core::MakeRoomForEndpoint()
 {
-  const auto most =
-    mDescriptors.MostToEndpoints(static_cast<std::int64_t>(mSessions.size()));
+  const auto most = mDescriptors.MaxEndpointConnections(
+    static_cast<std::int64_t>(mSessions.size()));
   while (mEndpoints.OpenConnections() >= most) {
-    if (!mEndpoints.DropLongestIdle()) {
+    if (!mEndpoints.CloseLongestIdle()) {
       return false;
     }
   }
@@ -198,10 +198,10 @@
 }
 
 void
-Relay::Core::NoteCrashOfBrokenOff(RelayEndpoint& aEndpoint)
+Relay::Core::NoteCrashOfBrokenRequests(RelayEndpoint& aEndpoint)
 {
-  for (const auto& broken : std::exchange(aEndpoint.mBrokenOff, {})) {
-    if (mParts.mClock.Now() - broken.mAt < mLimits.mRestartHeard) {
+  for (const auto& broken : std::exchange(aEndpoint.mBrokenRequests, {})) {
+    if (mParts.mClock.Now() - broken.mAt < mLimits.mRestartDetection) {
       mCrashes.Note(broken.mRequest, aEndpoint);
     }
   }
@@ -210,16 +210,17 @@
 void
 Relay::Core::NoteRestart(RelayEndpoint& aEndpoint)
 {
-  NoteCrashOfBrokenOff(aEndpoint);
-  mLedger.ForgetReader(aEndpoint.mInfo.mId);
-  if (mParts.mTellWaiting && !aEndpoint.mInfo.mModels.empty()) {
-    mParts.mTellWaiting(aEndpoint.mInfo.mAddress, {}, {});
+  NoteCrashOfBrokenRequests(aEndpoint);
+  mLedger.ForgetPrefillsOf(aEndpoint.mInfo.mId);
+  if (mParts.mReportWaiting && !aEndpoint.mInfo.mModels.empty()) {
+    mParts.mReportWaiting(aEndpoint.mInfo.mAddress, {}, {});
   }
   mParts.mMetrics.Count("shuntjunction_relay_endpoint_restarts_total");
-  mParts.mLog.Write(EventLine(kRelayPart, "endpoint-restarted")
-                      .Add("endpoint", aEndpoint.mInfo.mId)
-                      .Add("started_at", aEndpoint.mLife.Current().StartedAt())
-                      .Add("revision", aEndpoint.mInfo.mRevision));
+  mParts.mLog.Write(
+    EventLine(kRelayComponent, "endpoint-restarted")
+      .Add("endpoint", aEndpoint.mInfo.mId)
+      .Add("started_at", aEndpoint.mEndpointIncarnation.Current().StartedAt())
+      .Add("revision", aEndpoint.mInfo.mRevision));
 }
 
 state::WindowBudget&
@@ -227,14 +228,14 @@
 {
   const auto& settings = mParts.mSettings.mBounds.mRetries;
   const double shares =
-    mMostRelays == 0 ? kAssumedRelays : kSharesOfRelay * mMostRelays;
+    mMaxRelays == 0 ? kAssumedRelays : kRelayShareDivisor * mMaxRelays;
   auto& budget =
     mBudgets.try_emplace(aService, settings, mParts.mClock.Now()).first->second;
   budget.SetSlack(std::floor(settings.mSlack / shares));
   return budget;
 }
 
-Relay::Relay(const RelayParts& aParts)
+Relay::Relay(const RelayDependencies& aParts)
   : mCore(std::make_shared<Core>(aParts))
 {
 }
@@ -264,11 +265,11 @@
 }
 
 void
-Relay::TakeView(std::shared_ptr<const RelayView> aView)
+Relay::ApplyView(std::shared_ptr<const RelayView> aView)
 {
   mCore->mView = std::move(aView);
-  mCore->mCrashes.TakeQuarantined(mCore->mView->mQuarantined);
-  const auto companions = CompanionsOf(mCore->mView->mEndpoints);
+  mCore->mCrashes.ApplyQuarantined(mCore->mView->mQuarantined);
+  const auto companions = CompanionZones(mCore->mView->mEndpoints);
   mCore->mDescriptors.SetPeers(static_cast<std::int64_t>(companions.size()));
   mCore->mShares.SetHosts(companions);
   const auto changes = mCore->mEndpoints.Update(mCore->mView->mEndpoints,
@@ -278,7 +279,7 @@
   }
   for (const auto& endpoint : changes.mLeaving) {
     mCore->mParts.mLog.Write(
-      EventLine(kRelayPart, "endpoint-leaving")
+      EventLine(kRelayComponent, "endpoint-leaving")
         .Add("endpoint", endpoint->mInfo.mId)
         .Add("listed", endpoint->mAvailability->IsListed())
         .Add("revision", endpoint->mInfo.mRevision)
@@ -287,47 +288,47 @@
 }
 
 void
-Relay::TakeNews(const protocol::EngineNews& aNews)
+Relay::ApplyNews(const protocol::EngineNews& aNews)
 {
-  mCore->NoteRelays(aNews.mRelays);
+  mCore->UpdateRelayCount(aNews.mRelays);
   const auto restarted =
-    mCore->mEndpoints.TakeNews(aNews, mCore->mParts.mClock.Now());
+    mCore->mEndpoints.ApplyNews(aNews, mCore->mParts.mClock.Now());
   if (restarted) {
     mCore->NoteRestart(*restarted);
   }
 }
 
 void
-Relay::TakeNewsEnd(const std::string& aHost)
+Relay::HandleNewsConnectionEnd(const std::string& aHost)
 {
-  mCore->mEndpoints.NoteNewsEnded(aHost);
+  mCore->mEndpoints.NoteNewsConnectionEnded(aHost);
 }
 
 void
-Relay::TakePartReading(const protocol::PartReading& aReading)
+Relay::ApplyPartReading(const protocol::PartReading& aReading)
 {
   const auto now = mCore->mParts.mClock.Now();
   auto& record = mCore->mLedger.At(aReading.mPart);
   if (aReading.mIsDone) {
     record.mServedAt = now;
   } else if (now - record.mServedAt >= mCore->mLimits.mNewsDelay) {
-    record.mReadingFrom = now;
-    record.mReader = aReading.mEndpoint;
+    record.mPrefillStartedAt = now;
+    record.mPrefillEndpoint = aReading.mEndpoint;
   }
 }
 
 void
-Relay::TakeCrashReports(const protocol::CrashReports& aReports)
+Relay::ApplyCrashReports(const protocol::CrashReports& aReports)
 {
   mCore->mCrashes.Take(aReports);
 }
 
 void
-Relay::TakeRateNews(const state::RateNews& aNews)
+Relay::ApplyRateNews(const state::RateNews& aNews)
 {
   const auto endpoint = mCore->mEndpoints.FindLife(aNews.mEndpoint);
   if (endpoint) {
-    mCore->mRates.TakeNews(*endpoint, aNews);
+    mCore->mRates.ApplyNews(*endpoint, aNews);
   }
 }
 
@@ -345,7 +346,7 @@
   metrics.Set("shuntjunction_relay_connections",
               static_cast<double>(Connections()));
   metrics.Set("shuntjunction_relay_connections_most",
-              static_cast<double>(mCore->mDescriptors.MostCallers()));
+              static_cast<double>(mCore->mDescriptors.MaxCallers()));
   metrics.Set("shuntjunction_relay_endpoint_connections",
               static_cast<double>(mCore->mEndpoints.OpenConnections()));
   metrics.Set("shuntjunction_relay_limited_endpoints",
@@ -368,7 +369,7 @@
   metrics.Set("shuntjunction_relay_store_revision",
               static_cast<double>(list.Store()));
   metrics.Set("shuntjunction_relay_former_words",
-              static_cast<double>(mCore->mEndpoints.FormerWords()));
+              static_cast<double>(mCore->mEndpoints.StaleReports()));
   metrics.Set("shuntjunction_relay_endpoints",
               static_cast<double>(mCore->mView->mEndpoints.size()));
 }
--- a/packages/coordination/src/relay_answer.cpp
+++ b/packages/coordination/src/relay_answer.cpp
@@ -33,7 +33,7 @@
 
 /// Statuses that promise a caller that its request was not run.
 bool
-IsPromise(unsigned aStatus)
+ImpliesNotRun(unsigned aStatus)
 {
   return aStatus == kMisdirected || aStatus == kTooMany ||
          aStatus == kRequestTimeout || aStatus == kUnavailable;
@@ -69,12 +69,12 @@
     std::make_unique<RelayAnswerReader>(mRequest->mMethod == "HEAD");
   while (true) {
     if (mInterrupt != RunInterrupt::kNone) {
-      TakeNoticeOfUnread(aAttempt);
+      ApplyUnreadNotice(aAttempt);
       co_return AttemptOutcome::kInterrupted;
     }
     const auto step = ReadBuffered(aAttempt);
     if (!step) {
-      if (IsBetterElsewhere(aAttempt.mPick)) {
+      if (ShouldMoveElsewhere(aAttempt.mEndpointChoice)) {
         mLastProblem = "endpoint silent";
         co_return AttemptOutcome::kSilent;
       }
@@ -84,25 +84,25 @@
     if (*step == ReadStep::kBad) {
       co_return AttemptOutcome::kBroken;
     }
-    if (const auto verdict = JudgeOnce(aAttempt, *step)) {
+    if (const auto verdict = EvaluateHeadOnce(aAttempt, *step)) {
       co_return *verdict;
     }
-    aAttempt.mPick.mEndpoint->mBytesAt = Now();
+    aAttempt.mEndpointChoice.mEndpoint->mLastBytesAt = Now();
     const bool isDone = *step == ReadStep::kDone;
-    if (aAttempt.mIsOther) {
-      SkipOther(aAttempt, isDone);
+    if (aAttempt.mIsForeign) {
+      SkipForeignAnswer(aAttempt, isDone);
       continue;
     }
-    if (!aAttempt.mIsHeadJudged) {
+    if (!aAttempt.mIsHeadEvaluated) {
       continue;
     }
-    if (isDone && !aAttempt.mIsStreamed && MayFailElsewhere(aAttempt)) {
+    if (isDone && !aAttempt.mIsStreamed && ShouldRetryFailure(aAttempt)) {
       aAttempt.mHeld += aAttempt.mAnswer->TakeBody();
-      KeepFailure(aAttempt);
+      SaveFailure(aAttempt);
       Finish(aAttempt);
       co_return AttemptOutcome::kFailed;
     }
-    if (!co_await PassBody(aAttempt, isDone)) {
+    if (!co_await ForwardBody(aAttempt, isDone)) {
       co_return mInterrupt != RunInterrupt::kNone ? AttemptOutcome::kInterrupted
                                                   : AttemptOutcome::kBroken;
     }
@@ -143,21 +143,22 @@
 }
 
 std::optional<AttemptOutcome>
-RelayRun::JudgeOnce(Attempt& aAttempt, ReadStep aStep)
+RelayRun::EvaluateHeadOnce(Attempt& aAttempt, ReadStep aStep)
 {
   const bool isDone = aStep == ReadStep::kDone;
-  if (aAttempt.mIsHeadJudged || (!isDone && aStep != ReadStep::kHead)) {
+  if (aAttempt.mIsHeadEvaluated || (!isDone && aStep != ReadStep::kHead)) {
     return std::nullopt;
   }
-  aAttempt.mIsHeadJudged = true;
-  aAttempt.mFacts = mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
-  const auto& id = aAttempt.mFacts.mRequestId;
-  aAttempt.mIsOther = !id.empty() && id != mCall.mRequestId;
-  TakeNotice(aAttempt);
-  if (aAttempt.mIsOther) {
+  aAttempt.mIsHeadEvaluated = true;
+  aAttempt.mAnswerInfo =
+    mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
+  const auto& id = aAttempt.mAnswerInfo.mRequestId;
+  aAttempt.mIsForeign = !id.empty() && id != mCall.mRequestId;
+  ApplyNotice(aAttempt);
+  if (aAttempt.mIsForeign) {
     return std::nullopt;
   }
-  const auto verdict = JudgeHead(aAttempt);
+  const auto verdict = EvaluateHead(aAttempt);
   if (verdict && isDone && *verdict != AttemptOutcome::kBroken) {
     Finish(aAttempt);
   }
@@ -165,10 +166,10 @@
 }
 
 void
-RelayRun::TakeNotice(Attempt& aAttempt)
+RelayRun::ApplyNotice(Attempt& aAttempt)
 {
-  const auto& facts = aAttempt.mFacts;
-  auto& endpoint = *aAttempt.mPick.mEndpoint;
+  const auto& facts = aAttempt.mAnswerInfo;
+  auto& endpoint = *aAttempt.mEndpointChoice.mEndpoint;
   const bool isOfAnother =
     !facts.mEndpointId.empty() && facts.mEndpointId != endpoint.mInfo.mId;
   if (isOfAnother) {
@@ -179,50 +180,51 @@
   // The address may belong to another endpoint by now. Its rate does not apply
   // here; a drain does no harm, since the endpoint that was meant has ended.
   if (status != kMisdirected) {
-    const bool hasPlace = aAttempt.mPlace && !aAttempt.mIsOther;
+    const bool hasPlace = aAttempt.mPlace && !aAttempt.mIsForeign;
     mCore->mRates.Note(
       endpoint, facts.mNotice.mRate, hasPlace ? &*aAttempt.mPlace : nullptr);
   }
-  if (!aAttempt.mIsOther) {
-    SettleClearance(aAttempt, !facts.mIsNotRun && !IsPromise(status));
+  if (!aAttempt.mIsForeign) {
+    SettleClearance(aAttempt, !facts.mIsNotRun && !ImpliesNotRun(status));
   }
 }
 
 void
-RelayRun::TakeNoticeOfUnread(Attempt& aAttempt)
+RelayRun::ApplyUnreadNotice(Attempt& aAttempt)
 {
   auto& reader = *aAttempt.mConnection.mReader;
-  if (aAttempt.mIsHeadJudged || reader.Buffered().empty()) {
+  if (aAttempt.mIsHeadEvaluated || reader.Buffered().empty()) {
     return;
   }
   std::size_t consumed = 0;
   const auto step = aAttempt.mAnswer->Put(reader.Buffered(), consumed);
   if (step == ReadStep::kHead || step == ReadStep::kDone) {
-    aAttempt.mFacts = mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
-    TakeNotice(aAttempt);
+    aAttempt.mAnswerInfo =
+      mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
+    ApplyNotice(aAttempt);
   }
 }
 
 void
-RelayRun::SkipOther(Attempt& aAttempt, bool aIsDone)
+RelayRun::SkipForeignAnswer(Attempt& aAttempt, bool aIsDone)
 {
   // An answer to an earlier request came late: ours may follow it.
   aAttempt.mAnswer->TakeBody();
   if (!aIsDone) {
     return;
   }
-  aAttempt.mIsOtherSkipped = true;
+  aAttempt.mIsForeignSkipped = true;
   aAttempt.mAnswer =
     std::make_unique<RelayAnswerReader>(mRequest->mMethod == "HEAD");
-  aAttempt.mIsHeadJudged = false;
-  aAttempt.mIsOther = false;
+  aAttempt.mIsHeadEvaluated = false;
+  aAttempt.mIsForeign = false;
 }
 
 std::optional<AttemptOutcome>
-RelayRun::JudgeHead(Attempt& aAttempt)
+RelayRun::EvaluateHead(Attempt& aAttempt)
 {
   const auto& head = aAttempt.mAnswer->Head();
-  const auto& facts = aAttempt.mFacts;
+  const auto& facts = aAttempt.mAnswerInfo;
   if (head.mStatus == kMisdirected) {
     mLastProblem = "misdirected";
     return AttemptOutcome::kMisdirected;
@@ -233,9 +235,9 @@
   }
   const bool isOurs = facts.mRequestId == mCall.mRequestId;
   const bool isUsable = isOurs && !facts.mIsEncoded &&
-                        !IsPromise(head.mStatus) &&
+                        !ImpliesNotRun(head.mStatus) &&
                         (facts.mIsSigned || !IsSuccess(head.mStatus)) &&
-                        (!mIsHeadPassed || IsSuccess(head.mStatus));
+                        (!mIsHeadForwarded || IsSuccess(head.mStatus));
   if (!isUsable) {
     mLastProblem = "unusable answer: " + std::to_string(head.mStatus);
     return AttemptOutcome::kBroken;
@@ -246,29 +248,29 @@
 }
 
 void
-RelayRun::NoteAnswerBegun(const Attempt& aAttempt)
+RelayRun::HandleAnswerBegun(const Attempt& aAttempt)
 {
-  const auto& pick = aAttempt.mPick;
+  const auto& pick = aAttempt.mEndpointChoice;
   constexpr double kMillisPerSecond = 1000.0;
   mCore->mParts.mMetrics.Observe(
-    RequestMeasure::kFirstToken,
+    RequestMetric::kFirstToken,
     mTeam != nullptr ? mTeam->mName : "",
     mRoute->mUrgency == 0 ? state::Priority::kUrgent
                           : state::Priority::kOrdinary,
     static_cast<double>(SinceArrival().count()) / kMillisPerSecond);
-  NoteRead(pick);
+  RemoveWaiting(pick);
   if (pick.mWeights != 0) {
-    mCore->mReadingRate.Note(pick.mWaitingTokens + pick.mTokensToRead,
+    mCore->mPrefillRate.Note(pick.mWaitingTokens + pick.mPrefillTokens,
                              SinceArrival() - *mTimes.mSent);
   }
   if (pick.mPart.empty() || !IsSuccess(aAttempt.mAnswer->Head().mStatus)) {
     return;
   }
   auto& record = mCore->mLedger.At(pick.mPartName);
-  const bool isFirst = record.IsBeingRead();
+  const bool isFirst = record.IsPrefilling();
   record.mServedAt = Now();
   if (isFirst) {
-    TellPart(pick, true);
+    AnnouncePartReading(pick, true);
   }
   if (!pick.mPartStore.empty()) {
     record.mSavedAt = Now();
@@ -276,43 +278,43 @@
 }
 
 void
-RelayRun::NotePiece()
+RelayRun::NoteChunkTime()
 {
   const auto now = SinceArrival();
   if (!mTimes.mFirst) {
     mTimes.mFirst = now;
   } else {
     mTimes.mLongestPause =
-      std::max(mTimes.mLongestPause, now - mTimes.mLastPiece);
+      std::max(mTimes.mLongestPause, now - mTimes.mLastChunk);
   }
-  mTimes.mLastPiece = now;
+  mTimes.mLastChunk = now;
 }
 
 Task<bool>
-RelayRun::PassBody(Attempt& aAttempt, bool aIsDone)
+RelayRun::ForwardBody(Attempt& aAttempt, bool aIsDone)
 {
   if (!aAttempt.mHasBegun) {
     aAttempt.mHasBegun = true;
-    NoteAnswerBegun(aAttempt);
+    HandleAnswerBegun(aAttempt);
   }
-  NotePiece();
+  NoteChunkTime();
   if (aAttempt.mIsStreamed) {
-    co_return co_await PassStreamPiece(aAttempt, aIsDone);
+    co_return co_await ForwardStreamChunk(aAttempt, aIsDone);
   }
   aAttempt.mHeld += aAttempt.mAnswer->TakeBody();
-  if (!aIsDone && aAttempt.mHeld.size() > mCore->mLimits.mMaxHeldAnswer) {
+  if (!aIsDone && aAttempt.mHeld.size() > mCore->mLimits.mMaxBufferedAnswer) {
     // Too long to hold: from here on an end that is missing cuts the caller.
     aAttempt.mIsStreamed = true;
-    co_return co_await PassStreamPiece(aAttempt, aIsDone);
+    co_return co_await ForwardStreamChunk(aAttempt, aIsDone);
   }
   if (aIsDone) {
-    co_return co_await PassHeldAnswer(aAttempt);
+    co_return co_await ForwardBufferedAnswer(aAttempt);
   }
   co_return true;
 }
 
 std::string
-RelayRun::HeldAnswerText(const Attempt& aAttempt) const
+RelayRun::BufferedAnswerText(const Attempt& aAttempt) const
 {
   const auto& head = aAttempt.mAnswer->Head();
   std::optional<std::size_t> length = aAttempt.mHeld.size();
@@ -326,47 +328,48 @@
 }
 
 Task<bool>
-RelayRun::PassHeldAnswer(Attempt& aAttempt)
+RelayRun::ForwardBufferedAnswer(Attempt& aAttempt)
 {
-  std::string text = HeldAnswerText(aAttempt);
-  mIsHeadPassed = true;
-  mFirstStatus = aAttempt.mAnswer->Head().mStatus;
+  std::string text = BufferedAnswerText(aAttempt);
+  mIsHeadForwarded = true;
+  mAnswerStatus = aAttempt.mAnswer->Head().mStatus;
   co_return co_await WriteToCaller(std::move(text));
 }
 
 bool
-RelayRun::MayFailElsewhere(const Attempt& aAttempt) const
+RelayRun::ShouldRetryFailure(const Attempt& aAttempt) const
 {
   const bool isFailure = aAttempt.mAnswer->Head().mStatus == kServerError &&
                          mRoute->mKind == RouteKind::kRepeatable;
   const bool mayTry =
-    mFailure.empty() && static_cast<int>(mTried.size()) < mRoute->mMaxAttempts;
+    mSavedFailure.empty() &&
+    static_cast<int>(mTriedEndpoints.size()) < mRoute->mMaxAttempts;
   // As long again, and some: otherwise the failure itself would come late.
   const auto spent = SinceArrival();
   return isFailure && mayTry && Now() + 2 * spent < mDeadline;
 }
 
 void
-RelayRun::KeepFailure(const Attempt& aAttempt)
+RelayRun::SaveFailure(const Attempt& aAttempt)
 {
-  mFailure = HeldAnswerText(aAttempt);
-  mFailureStatus = aAttempt.mAnswer->Head().mStatus;
-  mLastProblem = "endpoint failed: " + std::to_string(mFailureStatus);
+  mSavedFailure = BufferedAnswerText(aAttempt);
+  mSavedFailureStatus = aAttempt.mAnswer->Head().mStatus;
+  mLastProblem = "endpoint failed: " + std::to_string(mSavedFailureStatus);
 }
 
 Task<bool>
-RelayRun::PassStreamPiece(Attempt& aAttempt, bool aIsDone)
+RelayRun::ForwardStreamChunk(Attempt& aAttempt, bool aIsDone)
 {
   std::string piece =
     std::exchange(aAttempt.mHeld, {}) + aAttempt.mAnswer->TakeBody();
   if (mRoute->mKind == RouteKind::kStream) {
-    piece = TakeWholeEvents(std::move(piece), aIsDone);
+    piece = ExtractCompleteEvents(std::move(piece), aIsDone);
   }
   std::string text;
   const bool isChunked = !mRequest->mIsHttp10;
-  if (!mIsHeadPassed) {
-    mIsHeadPassed = true;
-    mFirstStatus = aAttempt.mAnswer->Head().mStatus;
+  if (!mIsHeadForwarded) {
+    mIsHeadForwarded = true;
+    mAnswerStatus = aAttempt.mAnswer->Head().mStatus;
     if (!isChunked) {
       mIsKept = false;
     }
@@ -389,7 +392,7 @@
 }
 
 std::string
-RelayRun::TakeWholeEvents(std::string aBytes, bool aIsDone)
+RelayRun::ExtractCompleteEvents(std::string aBytes, bool aIsDone)
 {
   constexpr std::string_view kEventEnd = "\n\n";
   constexpr std::string_view kIdField = "id:";
--- a/packages/coordination/src/relay_attempt.cpp
+++ b/packages/coordination/src/relay_attempt.cpp
@@ -19,7 +19,7 @@
 
 Task<void>
 WriteRequest(std::shared_ptr<SocketReader> aConnection,
-             std::shared_ptr<Sending> aSending)
+             std::shared_ptr<OutgoingRequest> aSending)
 {
   const std::array<asio::const_buffer, 2> buffers{
     asio::buffer(aSending->mHead), asio::buffer(aSending->mRequest->mBody)
@@ -35,16 +35,16 @@
 
 /// Whether a caller's header field goes on to an endpoint.
 bool
-IsPassedOn(const RelayCodec& aCodec,
-           std::string_view aName,
-           std::string_view aConnection,
-           bool aIsResumed)
+IsForwarded(const RelayCodec& aCodec,
+            std::string_view aName,
+            std::string_view aConnection,
+            bool aIsResumed)
 {
   return !transport::IsConnectionField(aName, aConnection) &&
          !transport::IsSameName(aName, "Content-Length") &&
          !transport::IsSameName(aName, "Authorization") &&
          !transport::IsSameName(aName, "Expect") &&
-         aCodec.IsCallersToSet(aName) &&
+         aCodec.MayForwardField(aName) &&
          (!aIsResumed || !transport::IsSameName(aName, "Last-Event-Id"));
 }
 
@@ -70,18 +70,18 @@
 std::string
 RequestHead(const RelayRequest& aRequest,
             const RelayCodec& aCodec,
-            const HandOver& aHandOver)
+            const ForwardingInfo& aHandOver)
 {
   std::string head =
     aRequest.mMethod + " " + aRequest.mTarget + " HTTP/1.1\r\n";
   const auto connection = aRequest.Field("Connection");
   const bool isResumed = !aHandOver.mResumeAfter.empty();
   for (const auto& field : aRequest.mFields) {
-    if (IsPassedOn(aCodec, field.mName, connection, isResumed)) {
+    if (IsForwarded(aCodec, field.mName, connection, isResumed)) {
       head += field.mName + ": " + field.mValue + "\r\n";
     }
   }
-  aCodec.AppendHandOver(aHandOver, head);
+  aCodec.AppendForwardingFields(aHandOver, head);
   if (aRequest.mIsChunked || aRequest.mHasLength) {
     head += "Content-Length: " + std::to_string(aRequest.mBody.size()) + "\r\n";
   }
@@ -92,24 +92,24 @@
 } // namespace
 
 Task<AttemptOutcome>
-RelayRun::Try(RelayPick aPick)
+RelayRun::Try(EndpointChoice aPick)
 {
   const auto endpoint = aPick.mEndpoint;
-  const int suspects = aPick.mIsApart ? 1 : 0;
+  const int suspects = aPick.mIsCrashSuspect ? 1 : 0;
   // Before it connects: those that broke off together choose together.
-  endpoint->mSuspects += suspects;
-  const auto outcome = co_await TryThere(std::move(aPick));
-  endpoint->mSuspects -= suspects;
+  endpoint->mSuspectRequests += suspects;
+  const auto outcome = co_await RunAttempt(std::move(aPick));
+  endpoint->mSuspectRequests -= suspects;
   co_return outcome;
 }
 
 Task<AttemptOutcome>
-RelayRun::TryThere(RelayPick aPick)
+RelayRun::RunAttempt(EndpointChoice aPick)
 {
   Attempt attempt;
-  attempt.mPick = std::move(aPick);
+  attempt.mEndpointChoice = std::move(aPick);
   mTimes = {};
-  auto& endpoint = *attempt.mPick.mEndpoint;
+  auto& endpoint = *attempt.mEndpointChoice.mEndpoint;
   const auto connected = co_await Connect(attempt);
   if (connected == AttemptOutcome::kUnsent) {
     ++mUnsentTries;
@@ -123,19 +123,19 @@
     co_return clearance.error();
   }
   mPartialEvent.clear();
-  LogSent(attempt.mPick);
-  attempt.mPick.mSentAt = Now();
+  LogSent(attempt.mEndpointChoice);
+  attempt.mEndpointChoice.mSentAt = Now();
   if (endpoint.mRunning++ == 0) {
-    endpoint.mBytesAt = Now();
+    endpoint.mLastBytesAt = Now();
   }
-  NoteWaiting(attempt.mPick);
+  AddWaiting(attempt.mEndpointChoice);
   if (endpoint.mRate) {
     ++endpoint.mRate->mSent;
     mCore->mParts.mMetrics.Count("shuntjunction_relay_limited_sends_total",
                                  { { "service", mService } });
   }
   attempt.mPlace = std::exchange(mPlace, std::nullopt);
-  mTried.push_back(endpoint.mInfo.mId);
+  mTriedEndpoints.push_back(endpoint.mInfo.mId);
   Send(attempt, std::move(*clearance));
   mTimes.mSent = SinceArrival();
   const auto connection = attempt.mConnection.mReader;
@@ -145,9 +145,9 @@
   --endpoint.mRunning;
   SettleClearance(attempt, false);
   if (!attempt.mHasBegun) {
-    NoteRead(attempt.mPick);
+    RemoveWaiting(attempt.mEndpointChoice);
   }
-  mOpenAttempt = nullptr;
+  mOpenConnection = nullptr;
   if (attempt.mConnection.mReader) {
     // Not given back: whatever may still come belongs to nobody.
     attempt.mConnection.mReader->Close(true);
@@ -165,9 +165,9 @@
 {
   // The wait for a part, a permit or a connection was long enough for the
   // endpoint to become unavailable since it was chosen.
-  const auto& endpoint = aAttempt.mPick.mEndpoint;
+  const auto& endpoint = aAttempt.mEndpointChoice.mEndpoint;
   const auto permit =
-    endpoint->PermitNeedOf(IsUrgent(Urgency()), HasPlaceAt(endpoint));
+    endpoint->PermitNeedOf(IsUrgent(Urgency()), HasPermitFor(endpoint));
   const auto obstacle = endpoint->mAvailability->ObstacleAtSend(Now(), permit);
   if (obstacle != state::Obstacle::kNone) {
     mLastProblem =
@@ -179,23 +179,25 @@
     mLastProblem = reason;
     return tl::unexpected(AttemptOutcome::kWithheld);
   }
-  return endpoint->mAvailability->Clear(Now());
+  return endpoint->mAvailability->GrantClearance(Now());
 }
 
 void
 RelayRun::ReleaseUnused(Attempt& aAttempt)
 {
   // Nothing was sent on the connection: it is as good as before.
-  mOpenAttempt = nullptr;
-  mCore->mEndpoints.PutIdle(
-    *aAttempt.mPick.mEndpoint, std::move(aAttempt.mConnection), {}, Now());
+  mOpenConnection = nullptr;
+  mCore->mEndpoints.PutIdle(*aAttempt.mEndpointChoice.mEndpoint,
+                            std::move(aAttempt.mConnection),
+                            {},
+                            Now());
 }
 
 void
 RelayRun::SettleClearance(Attempt& aAttempt, bool aIsAccepted)
 {
   if (aAttempt.mClearance) {
-    aAttempt.mPick.mEndpoint->mAvailability->Settle(
+    aAttempt.mEndpointChoice.mEndpoint->mAvailability->Settle(
       *std::exchange(aAttempt.mClearance, std::nullopt), aIsAccepted);
   }
 }
@@ -208,11 +210,11 @@
   if (Now() >= mDeadline) {
     return "deadline";
   }
-  if (IsStale()) {
+  if (AreKeysStale()) {
     return "stale-keys";
   }
   // Only what is sent counts as a repeat.
-  if (!mTried.empty() && !mCore->BudgetOf(mService).TryRepeat(Now())) {
+  if (!mTriedEndpoints.empty() && !mCore->BudgetOf(mService).TryRepeat(Now())) {
     return "retry-budget";
   }
   return {};
@@ -221,13 +223,13 @@
 Task<AttemptOutcome>
 RelayRun::Connect(Attempt& aAttempt)
 {
-  auto& endpoint = *aAttempt.mPick.mEndpoint;
+  auto& endpoint = *aAttempt.mEndpointChoice.mEndpoint;
   const auto maxRest = mRoute->IsRepeatable()
                          ? mCore->mEndpoints.Settings().mIdleLimit
-                         : mCore->mLimits.mOnceMaxRest;
+                         : mCore->mLimits.mOnceMaxIdle;
   aAttempt.mConnection = mCore->mEndpoints.TakeIdle(endpoint, maxRest, Now());
   if (aAttempt.mConnection.mReader) {
-    mOpenAttempt = aAttempt.mConnection.mReader;
+    mOpenConnection = aAttempt.mConnection.mReader;
     co_return AttemptOutcome::kDone;
   }
   const auto& settings = mCore->mEndpoints.Settings();
@@ -257,10 +259,10 @@
   aAttempt.mConnection.mReader->KeepWhileOpen(std::move(count));
   aAttempt.mConnection.mReader->Start();
   mCore->mParts.mMetrics.Count("shuntjunction_relay_connections_opened_total");
-  mOpenAttempt = aAttempt.mConnection.mReader;
+  mOpenConnection = aAttempt.mConnection.mReader;
   if (mInterrupt != RunInterrupt::kNone) {
     aAttempt.mConnection.mReader->Close(true);
-    mOpenAttempt = nullptr;
+    mOpenConnection = nullptr;
     co_return AttemptOutcome::kWithheld;
   }
   co_return AttemptOutcome::kDone;
@@ -270,20 +272,22 @@
 RelayRun::Send(Attempt& aAttempt, state::SendClearance aClearance)
 {
   aAttempt.mClearance = std::move(aClearance);
-  aAttempt.mSending = std::make_shared<Sending>();
-  aAttempt.mSending->mRequest = mRequest;
-  aAttempt.mSending->mHead =
-    RequestHead(*mRequest, mCore->mParts.mCodec, HandOverOf(aAttempt.mPick));
-  NotePartIsRead(aAttempt.mPick);
+  aAttempt.mOutgoing = std::make_shared<OutgoingRequest>();
+  aAttempt.mOutgoing->mRequest = mRequest;
+  aAttempt.mOutgoing->mHead =
+    RequestHead(*mRequest,
+                mCore->mParts.mCodec,
+                MakeForwardingInfo(aAttempt.mEndpointChoice));
+  NotePartPrefill(aAttempt.mEndpointChoice);
   transport::Spawn(
     mCore->mParts.mContext,
-    WriteRequest(aAttempt.mConnection.mReader, aAttempt.mSending));
+    WriteRequest(aAttempt.mConnection.mReader, aAttempt.mOutgoing));
 }
 
-HandOver
-RelayRun::HandOverOf(const RelayPick& aPick) const
+ForwardingInfo
+RelayRun::MakeForwardingInfo(const EndpointChoice& aPick) const
 {
-  HandOver handOver;
+  ForwardingInfo handOver;
   handOver.mTimeLeft = std::chrono::duration_cast<Millis>(mDeadline - Now());
   handOver.mEndpointId = aPick.mEndpoint->mInfo.mId;
   handOver.mResumeAfter = mLastEventId;
@@ -301,48 +305,49 @@
 }
 
 void
-RelayRun::NotePartIsRead(const RelayPick& aPick)
+RelayRun::NotePartPrefill(const EndpointChoice& aPick)
 {
   if (aPick.mPart.empty()) {
     return;
   }
   auto& record = mCore->mLedger.At(aPick.mPartName);
-  const bool isKept = mCore->mEndpoints.Parts().IsKept(aPick.mPartName);
+  const bool isKept = mCore->mEndpoints.Parts().HasHolder(aPick.mPartName);
   const bool isNewsDue = Now() - record.mServedAt < mCore->mLimits.mNewsDelay;
   if (isKept || isNewsDue) {
     return;
   }
-  record.mReadingFrom = Now();
-  record.mReader = aPick.mEndpoint->mInfo.mId;
-  TellPart(aPick, false);
+  record.mPrefillStartedAt = Now();
+  record.mPrefillEndpoint = aPick.mEndpoint->mInfo.mId;
+  AnnouncePartReading(aPick, false);
 }
 
 void
-RelayRun::NoteWaiting(const RelayPick& aPick)
+RelayRun::AddWaiting(const EndpointChoice& aPick)
 {
   auto& endpoint = *aPick.mEndpoint;
-  endpoint.mWaiting.Add(aPick.mUrgency, aPick.mTokensToRead);
-  if (aPick.mIsBehind) {
+  endpoint.mWaiting.Add(aPick.mUrgency, aPick.mPrefillTokens);
+  if (aPick.mIsDeprioritized) {
     endpoint.mLate.Add(aPick.mSentAt);
   }
-  TellWaiting(endpoint, aPick.mIsKept ? std::string() : aPick.mPartName);
+  ReportWaiting(endpoint, aPick.mIsKept ? std::string() : aPick.mPartName);
 }
 
 void
-RelayRun::NoteRead(const RelayPick& aPick)
+RelayRun::RemoveWaiting(const EndpointChoice& aPick)
 {
   auto& endpoint = *aPick.mEndpoint;
-  endpoint.mWaiting.Remove(aPick.mUrgency, aPick.mTokensToRead);
-  if (aPick.mIsBehind) {
+  endpoint.mWaiting.Remove(aPick.mUrgency, aPick.mPrefillTokens);
+  if (aPick.mIsDeprioritized) {
     endpoint.mLate.Remove(aPick.mSentAt);
   }
-  TellWaiting(endpoint, {});
+  ReportWaiting(endpoint, {});
 }
 
 void
-RelayRun::TellWaiting(const RelayEndpoint& aEndpoint, const std::string& aPart)
+RelayRun::ReportWaiting(const RelayEndpoint& aEndpoint,
+                        const std::string& aPart)
 {
-  const auto& tell = mCore->mParts.mTellWaiting;
+  const auto& tell = mCore->mParts.mReportWaiting;
   // Of a former life nothing is told any more.
   if (tell && aEndpoint.mAvailability->IsListed() &&
       !aEndpoint.mInfo.mModels.empty()) {
@@ -351,9 +356,9 @@
 }
 
 void
-RelayRun::TellPart(const RelayPick& aPick, bool aIsDone)
+RelayRun::AnnouncePartReading(const EndpointChoice& aPick, bool aIsDone)
 {
-  const auto& tell = mCore->mParts.mTellPart;
+  const auto& tell = mCore->mParts.mSendPartReading;
   if (tell) {
     const auto& endpoint = aPick.mEndpoint->mInfo;
     tell(endpoint.mAddress, { aPick.mPartName, aIsDone, endpoint.mId });
@@ -365,14 +370,14 @@
 {
   const auto& head = aAttempt.mAnswer->Head();
   const auto& reader = aAttempt.mConnection.mReader;
-  const bool isReusable = head.mKeepsAlive && aAttempt.mSending->mIsDone &&
-                          !aAttempt.mIsOtherSkipped && !reader->IsClosed() &&
+  const bool isReusable = head.mKeepsAlive && aAttempt.mOutgoing->mIsDone &&
+                          !aAttempt.mIsForeignSkipped && !reader->IsClosed() &&
                           reader->Buffered().empty();
   if (!isReusable) {
     return;
   }
-  mOpenAttempt = nullptr;
-  mCore->mEndpoints.PutIdle(*aAttempt.mPick.mEndpoint,
+  mOpenConnection = nullptr;
+  mCore->mEndpoints.PutIdle(*aAttempt.mEndpointChoice.mEndpoint,
                             std::exchange(aAttempt.mConnection, {}),
                             head.Field("Keep-Alive"),
                             Now());
--- a/packages/coordination/src/relay_attempt.h
+++ b/packages/coordination/src/relay_attempt.h
@@ -10,7 +10,7 @@
 namespace shuntjunction::coordination {
 
 /// Bytes of a request on their way to an endpoint.
-struct Sending
+struct OutgoingRequest
 {
   std::string mHead;
   std::shared_ptr<transport::RelayRequest> mRequest;
@@ -20,19 +20,19 @@
 /// One attempt at one endpoint.
 struct RelayRun::Attempt
 {
-  RelayPick mPick;
+  EndpointChoice mEndpointChoice;
   EndpointConnection mConnection;
-  std::shared_ptr<Sending> mSending;
+  std::shared_ptr<OutgoingRequest> mOutgoing;
   std::unique_ptr<transport::RelayAnswerReader> mAnswer;
-  AnswerFacts mFacts;
-  std::optional<HeldPlace> mPlace; ///< that it used
+  AnswerInfo mAnswerInfo;
+  std::optional<HeldPermit> mPlace; ///< that it used
   /// While the endpoint has not answered.
   std::optional<state::SendClearance> mClearance;
-  bool mIsHeadJudged = false;
-  bool mIsOther = false;        ///< the answer is to another request
-  std::string mHeld;            ///< body that waits until the answer is whole
-  bool mIsOtherSkipped = false; ///< an answer to another request came first
-  bool mIsStreamed = false;     ///< passed on as it comes
+  bool mIsHeadEvaluated = false;
+  bool mIsForeign = false;        ///< the answer is to another request
+  std::string mHeld;              ///< body that waits until the answer is whole
+  bool mIsForeignSkipped = false; ///< an answer to another request came first
+  bool mIsStreamed = false;       ///< passed on as it comes
   bool mHasBegun = false;
 };
 
--- a/packages/coordination/src/relay_codec.cpp
+++ b/packages/coordination/src/relay_codec.cpp
@@ -3,14 +3,14 @@
 namespace shuntjunction::coordination {
 
 std::string_view
-CallFacts::LastSharedPart() const
+CallInfo::LastSharedPart() const
 {
   return mParts.size() < 2 ? std::string_view()
                            : std::string_view(mParts[mParts.size() - 2].mId);
 }
 
 std::int64_t
-CallFacts::SharedTokens() const
+CallInfo::SharedTokens() const
 {
   std::int64_t tokens = 0;
   for (std::size_t i = 0; i + 1 < mParts.size(); ++i) {
--- a/packages/coordination/src/relay_core.h
+++ b/packages/coordination/src/relay_core.h
@@ -15,7 +15,7 @@
 #include "shuntjunction/state/first_token.h"
 #include "shuntjunction/state/limit_shares.h"
 #include "shuntjunction/state/overload_guard.h"
-#include "shuntjunction/state/part_ledger.h"
+#include "shuntjunction/state/part_record_table.h"
 #include "shuntjunction/state/window_budget.h"
 
 namespace shuntjunction::coordination {
@@ -23,7 +23,7 @@
 class RelaySession;
 
 /// Names a relay in log lines.
-inline constexpr std::string_view kRelayPart = "relay";
+inline constexpr std::string_view kRelayComponent = "relay";
 
 /// Times and sizes of a relay that are no settings of its operators.
 struct RelayLimits
@@ -33,14 +33,14 @@
   state::Millis mFreshnessMargin{ 300 };
   /// A connection that rested longer is not used for a request that may run
   /// only once: its endpoint may close it at that moment.
-  state::Millis mOnceMaxRest{ 1000 };
+  state::Millis mOnceMaxIdle{ 1000 };
   /// A process that just started has its configuration within this.
   state::Millis mConfigWait{ 120 };
   /// Share of the latency objective for which a request may wait for an
   /// endpoint to open; callers can still come back in time then.
   double mWaitShare = 0.2;
   /// Answers up to this size are read whole before any of it is passed on.
-  std::size_t mMaxHeldAnswer = 64UL * 1024;
+  std::size_t mMaxBufferedAnswer = 64UL * 1024;
   /// Bytes read ahead on a connection.
   std::size_t mReadAhead = 64UL * 1024;
   /// Share of the process's memory for bodies of requests.
@@ -58,11 +58,11 @@
   state::Millis mWeightsMargin{ 1500 };
   /// An engine that did not load its weights so long after its turn is used
   /// again meanwhile.
-  state::Millis mLoadPatience{ 2500 };
+  state::Millis mLoadTimeout{ 2500 };
   /// A restart is heard of within this, by the list or by its companion.
-  state::Millis mRestartHeard{ 10000 };
+  state::Millis mRestartDetection{ 10000 };
   /// Requests that broke off at one endpoint that are remembered for it.
-  std::size_t mMaxBrokenOff = 64;
+  std::size_t mMaxBrokenRequests = 64;
   state::FirstTokenSettings mFirstToken;
 };
 
@@ -74,9 +74,9 @@
   static constexpr double kAssumedRelays = 32;
   /// Of what companions tell: one may not reach all relays, and a relay that is
   /// restarted begins its share anew.
-  static constexpr double kSharesOfRelay = 2;
+  static constexpr double kRelayShareDivisor = 2;
 
-  explicit Core(const RelayParts& aParts);
+  explicit Core(const RelayDependencies& aParts);
 
   /// Whether a key may still be taken as valid.
   bool AreKeysFresh() const;
@@ -85,7 +85,7 @@
   void CloseIdleSessions();
 
   /// Takes how many relays a companion tells; fewer than before change nothing.
-  void NoteRelays(std::uint32_t aRelays);
+  void UpdateRelayCount(std::uint32_t aRelays);
 
   /// Takes that an endpoint is in another life: what was read, or waited, there
   /// before counts no more.
@@ -93,7 +93,7 @@
 
   /// Takes that an endpoint crashed under the requests that broke off there
   /// lately.
-  void NoteCrashOfBrokenOff(RelayEndpoint& aEndpoint);
+  void NoteCrashOfBrokenRequests(RelayEndpoint& aEndpoint);
 
   /// Whether no more callers' connections can be taken now.
   bool IsFull() const;
@@ -103,12 +103,12 @@
   bool MakeRoomForEndpoint();
 
   /// Relays, as far as companions told; one at least.
-  double Relays() const { return std::max<double>(mMostRelays, 1.0); }
+  double Relays() const { return std::max<double>(mMaxRelays, 1.0); }
 
   /// The budget of a service's repeats, with this relay's share of the slack.
   state::WindowBudget& BudgetOf(const std::string& aService);
 
-  RelayParts mParts;
+  RelayDependencies mParts;
   RelayLimits mLimits;
   state::DescriptorBudget mDescriptors;
   RelayEndpoints mEndpoints;
@@ -116,11 +116,11 @@
   state::ShareDirectory mShares;
   RelayRates mRates;
   RelayNotices mNotices;
-  state::PartLedger mLedger;
-  state::ReadingRate mReadingRate;
+  state::PartRecordTable mLedger;
+  state::PrefillRate mPrefillRate;
   state::OverloadGuard mGuard;
   std::map<std::string, state::WindowBudget> mBudgets; ///< by service
-  std::uint32_t mMostRelays = 0; ///< that a companion told; 0: none did
+  std::uint32_t mMaxRelays = 0; ///< that a companion told; 0: none did
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   state::RandomSource mRandom;
   std::shared_ptr<transport::asio::ip::tcp::acceptor> mAcceptor;
--- a/packages/coordination/src/relay_crashes.cpp
+++ b/packages/coordination/src/relay_crashes.cpp
@@ -16,26 +16,26 @@
 
 /// Crashes of one moment are told together: an endpoint that crashes cuts some
 /// ten requests off within a few milliseconds.
-constexpr Millis kTellAfter{ 10 };
+constexpr Millis kReportBatchDelay{ 10 };
 
 /// A machine in reach refuses a connection within some milliseconds; one that
 /// says nothing for longer did not crash as far as can be told.
 constexpr Millis kCheckTimeout{ 100 };
 
 /// What was found holds for all that broke off in this time.
-constexpr Millis kCheckHolds{ 100 };
+constexpr Millis kCheckValidity{ 100 };
 
-constexpr Millis kCheckStep{ 5 };
+constexpr Millis kCheckPollInterval{ 5 };
 
 /// A process that crashes closes all it has within this, also on a machine with
 /// much else to do; nobody waits for it.
-constexpr Millis kCheckAgainAfter{ 250 };
+constexpr Millis kRecheckDelay{ 250 };
 
 } // namespace
 
-RelayCrashes::RelayCrashes(const RelayParts& aParts)
+RelayCrashes::RelayCrashes(const RelayDependencies& aParts)
   : mParts(aParts)
-  , mLedger(state::CrashLedgerSettings{})
+  , mLedger(state::CrashTrackerSettings{})
 {
 }
 
@@ -58,7 +58,7 @@
     mSeen.clear();
   }
   mSeen.insert(aRequest);
-  mParts.mLog.Write(EventLine(kRelayPart, "endpoint-crashed")
+  mParts.mLog.Write(EventLine(kRelayComponent, "endpoint-crashed")
                       .Add("endpoint", aEndpoint.mInfo.mId)
                       .Add("content", aRequest.Text())
                       .Add("crashes", Crashes(aRequest)));
@@ -71,7 +71,7 @@
 }
 
 void
-RelayCrashes::NoteEndedWell(const RequestDigest& aRequest)
+RelayCrashes::NoteCompleted(const RequestDigest& aRequest)
 {
   mSeen.erase(aRequest);
   for (const auto& report : mLedger.Clear(aRequest)) {
@@ -98,7 +98,7 @@
 }
 
 void
-RelayCrashes::TakeQuarantined(const QuarantinedRequests& aQuarantined)
+RelayCrashes::ApplyQuarantined(const QuarantinedRequests& aQuarantined)
 {
   const auto wall = mParts.mClock.WallMillis();
   for (const auto& [request, kept] : aQuarantined) {
@@ -112,8 +112,8 @@
   for (const auto& [request, kept] : mStored) {
     if (!aQuarantined.contains(request)) {
       mParts.mLog.Write(
-        EventLine(kRelayPart, "released").Add("content", request.Text()));
-      NoteEndedWell(request);
+        EventLine(kRelayComponent, "released").Add("content", request.Text()));
+      NoteCompleted(request);
     }
   }
   mStored = aQuarantined;
@@ -145,14 +145,14 @@
                               std::string_view aSource)
 {
   const auto left = QuarantineLeft(aRequest);
-  mParts.mLog.Write(EventLine(kRelayPart, "quarantined")
+  mParts.mLog.Write(EventLine(kRelayComponent, "quarantined")
                       .Add("content", aRequest.Text())
                       .Add("source", aSource)
                       .Add("crashes", Crashes(aRequest))
                       .Add("left_ms", left.count()));
   // Those that saw a crash keep it, three at the most: not every relay.
-  if (mSeen.erase(aRequest) != 0 && mParts.mKeepQuarantine) {
-    mParts.mKeepQuarantine(aRequest, left);
+  if (mSeen.erase(aRequest) != 0 && mParts.mStoreQuarantine) {
+    mParts.mStoreQuarantine(aRequest, left);
   }
   const auto [first, last] = mRunning.equal_range(aRequest);
   for (auto running = first; running != last; ++running) {
@@ -163,11 +163,11 @@
 void
 RelayCrashes::Tell(const CrashReport& aReport, bool aIsCleared)
 {
-  if (!mParts.mTellCrashes) {
+  if (!mParts.mSendCrashReports) {
     return;
   }
-  const bool isFirst = mUntold.empty();
-  mUntold[aReport.mEndpoint].mWords.push_back(
+  const bool isFirst = mPendingReports.empty();
+  mPendingReports[aReport.mEndpoint].mWords.push_back(
     { { aReport, Millis(0) }, aIsCleared });
   if (isFirst) {
     transport::Spawn(mParts.mContext, FlushSoon());
@@ -177,9 +177,9 @@
 Task<void>
 RelayCrashes::FlushSoon()
 {
-  co_await transport::Sleep(kTellAfter);
-  for (const auto& [endpoint, reports] : std::exchange(mUntold, {})) {
-    mParts.mTellCrashes(endpoint, reports);
+  co_await transport::Sleep(kReportBatchDelay);
+  for (const auto& [endpoint, reports] : std::exchange(mPendingReports, {})) {
+    mParts.mSendCrashReports(endpoint, reports);
   }
 }
 
@@ -199,7 +199,7 @@
   aEndpoint->mIsBeingChecked = true;
   auto socket = co_await transport::ConnectSocket(*target, kCheckTimeout);
   aEndpoint->mIsBeingChecked = false;
-  aEndpoint->mCheckedAt = aCore->mParts.mClock.Now();
+  aEndpoint->mProbedAt = aCore->mParts.mClock.Now();
   if (!socket) {
     aEndpoint->mHasCrashed =
       socket.error() == transport::asio::error::connection_refused;
@@ -214,12 +214,12 @@
 /// Looks again at an endpoint that listened: one that is about to end may close
 /// its connections some moments before.
 Task<void>
-CheckAgain(std::shared_ptr<Relay::Core> aCore,
-           RelayEndpointPtr aEndpoint,
-           std::shared_ptr<transport::SocketReader> aConnection)
+Recheck(std::shared_ptr<Relay::Core> aCore,
+        RelayEndpointPtr aEndpoint,
+        std::shared_ptr<transport::SocketReader> aConnection)
 {
-  co_await transport::Sleep(kCheckAgainAfter);
-  if (!aConnection->IsClosed() || !aEndpoint->TakesWork()) {
+  co_await transport::Sleep(kRecheckDelay);
+  if (!aConnection->IsClosed() || !aEndpoint->AcceptsWork()) {
     co_return;
   }
   const auto second = co_await Check(aCore, aEndpoint);
@@ -227,7 +227,7 @@
     second->Close(false);
   }
   if (aEndpoint->mHasCrashed) {
-    aCore->NoteCrashOfBrokenOff(*aEndpoint);
+    aCore->NoteCrashOfBrokenRequests(*aEndpoint);
   }
 }
 
@@ -237,14 +237,15 @@
 HasCrashed(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint)
 {
   while (aEndpoint->mIsBeingChecked) {
-    co_await transport::Sleep(kCheckStep);
+    co_await transport::Sleep(kCheckPollInterval);
   }
   const auto now = aCore->mParts.mClock.Now();
   if (aEndpoint->mHasCrashed) {
     co_return true;
   }
   // One that leaves ends as planned, whatever it still runs.
-  if (!aEndpoint->TakesWork() || now - aEndpoint->mCheckedAt < kCheckHolds) {
+  if (!aEndpoint->AcceptsWork() ||
+      now - aEndpoint->mProbedAt < kCheckValidity) {
     co_return false;
   }
   const auto connection = co_await Check(aCore, aEndpoint);
@@ -254,7 +255,7 @@
     kept.mReader = connection;
     aCore->mEndpoints.PutIdle(*aEndpoint, std::move(kept), {}, now);
     transport::Spawn(aCore->mParts.mContext,
-                     CheckAgain(aCore, aEndpoint, connection));
+                     Recheck(aCore, aEndpoint, connection));
   }
   co_return aEndpoint->mHasCrashed;
 }
--- a/packages/coordination/src/relay_crashes.h
+++ b/packages/coordination/src/relay_crashes.h
@@ -9,7 +9,7 @@
 
 #include "relay_endpoint.h"
 #include "shuntjunction/coordination/relay.h"
-#include "shuntjunction/state/crash_ledger.h"
+#include "shuntjunction/state/crash_tracker.h"
 
 namespace shuntjunction::coordination {
 
@@ -27,7 +27,7 @@
   using Running = std::multimap<state::RequestDigest, std::function<void()>>;
 
   /// @param aParts  outlive it, as their members do
-  explicit RelayCrashes(const RelayParts& aParts);
+  explicit RelayCrashes(const RelayDependencies& aParts);
 
   /// Adds a request that runs; aEnd is called if it is quarantined meanwhile.
   Running::iterator Begin(const state::RequestDigest& aRequest,
@@ -39,14 +39,14 @@
             const RelayEndpoint& aEndpoint);
 
   /// Takes that a request ended well: it is innocent.
-  void NoteEndedWell(const state::RequestDigest& aRequest);
+  void NoteCompleted(const state::RequestDigest& aRequest);
 
   /// Takes what other relays saw.
   void Take(const protocol::CrashReports& aReports);
 
   /// Takes what the platform's store holds; what was there before and is gone
   /// was released by an operator.
-  void TakeQuarantined(const QuarantinedRequests& aQuarantined);
+  void ApplyQuarantined(const QuarantinedRequests& aQuarantined);
 
   /// How long a request is refused from now on; zero: it may run.
   state::Millis QuarantineLeft(const state::RequestDigest& aRequest) const;
@@ -65,14 +65,14 @@
   transport::Task<void> FlushSoon();
   state::TimePoint Now() const { return mParts.mClock.Now(); }
 
-  const RelayParts& mParts;
-  state::CrashLedger mLedger;
+  const RelayDependencies& mParts;
+  state::CrashTracker mLedger;
   Running mRunning;
   /// Requests of which this relay saw a crash itself since they were cleared.
   std::set<state::RequestDigest> mSeen;
   QuarantinedRequests mStored; ///< as the store held them last
   /// Words that wait to be told, by the endpoint that crashed.
-  std::map<std::uint64_t, protocol::CrashReports> mUntold;
+  std::map<std::uint64_t, protocol::CrashReports> mPendingReports;
 };
 
 /// Whether an endpoint crashed from which a connection broke off just now.
