--- a/packages/coordination/src/relay_endpoint.cpp
+++ b/packages/coordination/src/relay_endpoint.cpp
@@ -10,22 +10,22 @@
 namespace shuntjunction::coordination {
 
 using state::EndpointInfo;
-using state::LifeWord;
+using state::IncarnationUpdate;
 using state::Millis;
 using state::TimePoint;
 
 namespace {
 
-constexpr std::string_view kTimeoutWord = "timeout=";
+constexpr std::string_view kTimeoutPrefix = "timeout=";
 
 /// The whole seconds that a Keep-Alive field names; empty when it names none.
 std::optional<Millis>
 KeepAliveLimit(std::string_view aValue)
 {
-  const auto at = aValue.find(kTimeoutWord);
+  const auto at = aValue.find(kTimeoutPrefix);
   const auto digits = at == std::string_view::npos
                         ? aValue
-                        : aValue.substr(at + kTimeoutWord.size());
+                        : aValue.substr(at + kTimeoutPrefix.size());
   int seconds = 0;
   const auto [end, error] =
     std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
@@ -37,15 +37,16 @@
 
 } // namespace
 
-Opening
-RelayEndpoint::OpeningAt(TimePoint aNow, bool aIsUrgent) const
+Unavailability
+RelayEndpoint::UnavailabilityAt(TimePoint aNow, bool aIsUrgent) const
 {
   const auto cooldownEnd = mAvailability->RequestedCooldownEnd();
-  const auto permitAt = mRate ? mRate->PlaceAt(aIsUrgent) : TimePoint::min();
+  const auto permitAt = mRate ? mRate->PermitAt(aIsUrgent) : TimePoint::min();
   if (aNow < cooldownEnd && cooldownEnd >= permitAt) {
     return { state::Obstacle::kCooldown, cooldownEnd };
   }
-  return mRate ? Opening{ state::Obstacle::kNoPermit, permitAt } : Opening{};
+  return mRate ? Unavailability{ state::Obstacle::kNoPermit, permitAt }
+               : Unavailability{};
 }
 
 void
@@ -74,26 +75,28 @@
     if (!entry) {
       entry = std::make_shared<RelayEndpoint>();
       entry->mNameHash = state::PlacementHash(info.mId);
-      entry->mAvailability = mAvailabilities.Find(info.mId, info.mLife);
+      entry->mAvailability =
+        mAvailabilities.Find(info.mId, info.mEndpointIncarnation);
     }
-    const auto word = entry->mLife.Take(info.mLife, aNow);
-    if (word == LifeWord::kNewer) {
+    const auto word =
+      entry->mEndpointIncarnation.Take(info.mEndpointIncarnation, aNow);
+    if (word == IncarnationUpdate::kNewer) {
       changes.mRestarted.push_back(BeginLife(entry));
     }
     const bool wasLeaving = entry->mInfo.mIsLeaving;
     if (info.mIsLeaving && !wasLeaving) {
       changes.mLeaving.push_back(entry);
     }
-    if (word == LifeWord::kFormer) {
+    if (word == IncarnationUpdate::kFormer) {
       // Its companion told of a later life than the list: see
       // EndpointDirectory.
-      ++mFormerWords;
+      ++mStaleReports;
       entry->mInfo.mIsLeaving = wasLeaving || info.mIsLeaving;
     } else {
       entry->mInfo = info;
     }
     entry->mAvailability->SetListing(true, entry->mInfo.mIsLeaving);
-    if (!entry->TakesWork()) {
+    if (!entry->AcceptsWork()) {
       entry->CloseIdle();
     }
   }
@@ -117,14 +120,14 @@
 {
   const auto former = std::exchange(aEntry, std::make_shared<RelayEndpoint>());
   aEntry->mInfo = former->mInfo;
-  aEntry->mLife = former->mLife;
+  aEntry->mEndpointIncarnation = former->mEndpointIncarnation;
   aEntry->mNameHash = former->mNameHash;
-  aEntry->mBrokenOff = std::move(former->mBrokenOff);
-  aEntry->mAvailability =
-    mAvailabilities.Begin(former->mInfo.mId, former->mLife.Current());
+  aEntry->mBrokenRequests = std::move(former->mBrokenRequests);
+  aEntry->mAvailability = mAvailabilities.Begin(
+    former->mInfo.mId, former->mEndpointIncarnation.Current());
   aEntry->mAvailability->SetListing(true, aEntry->mInfo.mIsLeaving);
   former->mHasCrashed = true;
-  CutOff(*former);
+  CloseConnections(*former);
   mParts.Forget(former->mInfo.mId);
   return aEntry;
 }
@@ -134,7 +137,7 @@
 {
   std::vector<RelayEndpointPtr> serving;
   for (const auto& [id, endpoint] : mById) {
-    if (endpoint->mInfo.mService == aService && endpoint->TakesWork()) {
+    if (endpoint->mInfo.mService == aService && endpoint->AcceptsWork()) {
       serving.push_back(endpoint);
     }
   }
@@ -173,7 +176,8 @@
 RelayEndpoints::FindLife(state::LimitHash aHash) const
 {
   for (const auto& [id, endpoint] : mById) {
-    if (state::HashOfLife(id, endpoint->mLife.Current()) == aHash) {
+    if (state::HashOfIncarnation(
+          id, endpoint->mEndpointIncarnation.Current()) == aHash) {
       return endpoint;
     }
   }
@@ -217,7 +221,7 @@
                         std::string_view aKeepAlive,
                         TimePoint aNow)
 {
-  if (!aEndpoint.TakesWork()) {
+  if (!aEndpoint.AcceptsWork()) {
     aConnection.mReader->Close(false);
     return;
   }
@@ -232,7 +236,7 @@
 }
 
 bool
-RelayEndpoints::DropLongestIdle()
+RelayEndpoints::CloseLongestIdle()
 {
   RelayEndpoint* oldest = nullptr;
   for (auto& [id, endpoint] : mById) {
@@ -268,7 +272,7 @@
 }
 
 RelayEndpointPtr
-RelayEndpoints::TakeNews(const protocol::EngineNews& aNews, TimePoint aNow)
+RelayEndpoints::ApplyNews(const protocol::EngineNews& aNews, TimePoint aNow)
 {
   const auto found = mById.find(aNews.mEndpoint);
   if (found == mById.end() && !aNews.mModel.empty()) {
@@ -277,37 +281,38 @@
   }
   RelayEndpointPtr restarted;
   if (found != mById.end()) {
-    const auto word = found->second->mLife.Take(aNews.mLife, aNow);
-    if (word == LifeWord::kFormer) {
-      ++mFormerWords;
+    const auto word = found->second->mEndpointIncarnation.Take(
+      aNews.mEndpointIncarnation, aNow);
+    if (word == IncarnationUpdate::kFormer) {
+      ++mStaleReports;
       return nullptr;
     }
-    if (word == LifeWord::kNewer) {
+    if (word == IncarnationUpdate::kNewer) {
       restarted = BeginLife(found->second);
     }
-    TakeState(*found->second, aNews, aNow);
+    ApplyState(*found->second, aNews, aNow);
   }
   mParts.Apply(aNews.mEndpoint, aNews.mIsWhole, aNews.mGained, aNews.mLost);
   return restarted;
 }
 
 void
-RelayEndpoints::TakeState(RelayEndpoint& aEndpoint,
-                          const protocol::EngineNews& aNews,
-                          TimePoint aNow)
+RelayEndpoints::ApplyState(RelayEndpoint& aEndpoint,
+                           const protocol::EngineNews& aNews,
+                           TimePoint aNow)
 {
   aEndpoint.mNews = aNews;
   aEndpoint.mNews->mGained.clear();
   aEndpoint.mNews->mLost.clear();
   aEndpoint.mNewsAt = aNow;
-  aEndpoint.mIsNewsEnded = false;
+  aEndpoint.mIsNewsConnectionEnded = false;
   if (aNews.mPhase == protocol::EnginePhase::kDown) {
-    CutOff(aEndpoint);
+    CloseConnections(aEndpoint);
   }
 }
 
 void
-RelayEndpoints::CutOff(RelayEndpoint& aEndpoint)
+RelayEndpoints::CloseConnections(RelayEndpoint& aEndpoint)
 {
   aEndpoint.CloseIdle();
   const auto busy = std::exchange(aEndpoint.mBusy, {});
@@ -325,17 +330,17 @@
 }
 
 void
-RelayEndpoints::NoteNewsEnded(std::string_view aHost)
+RelayEndpoints::NoteNewsConnectionEnded(std::string_view aHost)
 {
   for (auto& [id, endpoint] : mById) {
     const auto address = state::ParseAddress(endpoint->mInfo.mAddress);
     if (address && address->mHost == aHost) {
-      endpoint->mIsNewsEnded = true;
+      endpoint->mIsNewsConnectionEnded = true;
     }
   }
 }
 
-state::LifeSigns
+state::LivenessSignals
 RelayEndpoints::SignsOf(const RelayEndpoint& aEndpoint, TimePoint aNow)
 {
   const auto since = [&](TimePoint aThen) {
@@ -343,9 +348,9 @@
   };
   return { aEndpoint.mNews.has_value(),
            since(aEndpoint.mNewsAt),
-           aEndpoint.mIsNewsEnded,
+           aEndpoint.mIsNewsConnectionEnded,
            aEndpoint.mRunning > 0,
-           since(aEndpoint.mBytesAt) };
+           since(aEndpoint.mLastBytesAt) };
 }
 
 bool
@@ -361,7 +366,7 @@
 }
 
 void
-RelayEndpoints::WakeAtStopped(TimePoint aNow)
+RelayEndpoints::WakeRequestsAtStopped(TimePoint aNow)
 {
   for (const auto& [id, endpoint] : mById) {
     if (endpoint->mBusy.empty() || !HasStopped(*endpoint, aNow)) {
@@ -379,10 +384,10 @@
   if (++aEndpoint.mFailures < mSettings.mFailuresToSuspect) {
     return;
   }
-  aEndpoint.mSuspicion = std::clamp(aEndpoint.mSuspicion * 2,
-                                    mSettings.mFirstSuspicion,
-                                    mSettings.mLongestSuspicion);
-  aEndpoint.mSuspectUntil = aNow + aEndpoint.mSuspicion;
+  aEndpoint.mSuspectPause = std::clamp(aEndpoint.mSuspectPause * 2,
+                                       mSettings.mFirstSuspectPause,
+                                       mSettings.mMaxSuspectPause);
+  aEndpoint.mSuspectUntil = aNow + aEndpoint.mSuspectPause;
 }
 
 void
@@ -390,7 +395,7 @@
 {
   aEndpoint.mFailures = 0;
   aEndpoint.mHasCrashed = false;
-  aEndpoint.mSuspicion = Millis(0);
+  aEndpoint.mSuspectPause = Millis(0);
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_endpoint.h
+++ b/packages/coordination/src/relay_endpoint.h
@@ -12,7 +12,7 @@
 #include "shuntjunction/state/endpoint_availability.h"
 #include "shuntjunction/state/endpoint_limits.h"
 #include "shuntjunction/state/endpoint_silence.h"
-#include "shuntjunction/state/late_queue.h"
+#include "shuntjunction/state/late_requests.h"
 #include "shuntjunction/state/part_index.h"
 #include "shuntjunction/state/relay_config.h"
 #include "shuntjunction/state/request_digest.h"
@@ -57,8 +57,8 @@
   double mIdleShare = 0.5;
   /// Failures in a row that make an endpoint suspect.
   int mFailuresToSuspect = 2;
-  state::Millis mFirstSuspicion{ 500 };
-  state::Millis mLongestSuspicion{ 4000 };
+  state::Millis mFirstSuspectPause{ 500 };
+  state::Millis mMaxSuspectPause{ 4000 };
   /// Rest of an endpoint that refused for want of room.
   state::Millis mFullPause{ 50 };
   /// Rest of an endpoint that answered that another was meant: its address has
@@ -74,33 +74,33 @@
 };
 
 /// A request whose connection broke off at an endpoint.
-struct BrokenOff
+struct BrokenRequest
 {
   state::RequestDigest mRequest;
   state::TimePoint mAt;
 };
 
 /// The rate that an endpoint in need takes from all relays, as one knows it.
-struct NamedRate
+struct AdvertisedRate
 {
   double mPerSecond = 0;
   /// When its keeper may have a place, for urgent requests and for others.
-  state::TimePoint mUrgentPlaceAt;
-  state::TimePoint mPlaceAt;
+  state::TimePoint mUrgentPermitAt;
+  state::TimePoint mPermitAt;
   /// Its last word, or the last question for a place.
   state::TimePoint mHeardAt;
   // Requests since the last line of the log.
   std::int64_t mSent = 0;
-  std::int64_t mWithoutPlace = 0; ///< went elsewhere, or were refused
+  std::int64_t mWithoutPermit = 0; ///< went elsewhere, or were refused
 
-  state::TimePoint PlaceAt(bool aIsUrgent) const
+  state::TimePoint PermitAt(bool aIsUrgent) const
   {
-    return aIsUrgent ? mUrgentPlaceAt : mPlaceAt;
+    return aIsUrgent ? mUrgentPermitAt : mPermitAt;
   }
 };
 
 /// When an endpoint takes requests again.
-struct Opening
+struct Unavailability
 {
   state::Obstacle mObstacle = state::Obstacle::kNone;
   state::TimePoint mAt;
@@ -110,38 +110,39 @@
 struct RelayEndpoint
 {
   state::EndpointInfo mInfo;
-  state::LifeTracker mLife; ///< that all of this is about
+  state::IncarnationTracker mEndpointIncarnation; ///< that all of this is about
   std::uint64_t mNameHash = 0;
   /// Of this incarnation; it outlasts a lapse of the list's entry.
-  state::AvailabilityBook::Ptr mAvailability;
+  state::AvailabilityRegistry::Ptr mAvailability;
   std::vector<EndpointConnection> mIdle; ///< the freshest last
   /// Connections on which a request waits for its answer.
   std::set<std::shared_ptr<transport::SocketReader>> mBusy;
-  std::int64_t mRunning = 0;     ///< requests of this relay there
-  std::int64_t mSuspects = 0;    ///< of these, that go apart; see ChooseApart
+  std::int64_t mRunning = 0; ///< requests of this relay there
+  std::int64_t mSuspectRequests =
+    0;                           ///< of these, that go apart; see ChooseApart
   state::WaitingTokens mWaiting; ///< of this relay's, by their urgency there
-  state::LateQueue mLate;        ///< of this relay's, behind all others there
+  state::LateRequests mLate;     ///< of this relay's, behind all others there
   int mFailures = 0;             ///< in a row
-  state::Millis mSuspicion{ 0 };
+  state::Millis mSuspectPause{ 0 };
   state::TimePoint mSuspectUntil;
   /// Nothing listens at its address, or another life of it does.
   bool mHasCrashed = false;
   bool mIsBeingChecked = false; ///< whether it has; see HasCrashed
-  state::TimePoint mCheckedAt;
+  state::TimePoint mProbedAt;
   /// Requests that broke off here though it listens: it may have crashed and
   /// be back already.
-  std::vector<BrokenOff> mBrokenOff;
+  std::vector<BrokenRequest> mBrokenRequests;
   /// What its companion said last; empty before it said anything.
   std::optional<protocol::EngineNews> mNews;
   state::TimePoint mNewsAt;
   /// Its companion's connection was ended by the companion's machine.
-  bool mIsNewsEnded = false;
-  std::optional<NamedRate> mRate; ///< while it names one
+  bool mIsNewsConnectionEnded = false;
+  std::optional<AdvertisedRate> mRate; ///< while it names one
   /// Its last bytes, or the sending of a request when none waited there.
-  state::TimePoint mBytesAt;
+  state::TimePoint mLastBytesAt;
 
   /// Whether it is neither removed nor draining.
-  bool TakesWork() const
+  bool AcceptsWork() const
   {
     return mAvailability->IsListed() && !mAvailability->IsDraining();
   }
@@ -149,14 +150,15 @@
   /// What the rate that it names asks of a request.
   state::PermitNeed PermitNeedOf(bool aIsUrgent, bool aIsHeld) const
   {
-    return mRate ? state::PermitNeed{ true, aIsHeld, mRate->PlaceAt(aIsUrgent) }
-                 : state::PermitNeed{};
+    return mRate
+             ? state::PermitNeed{ true, aIsHeld, mRate->PermitAt(aIsUrgent) }
+             : state::PermitNeed{};
   }
 
   /// The obstacle that its own answers advertised, and its end.
   ///
   /// Pauses after failed attempts are left out: it may be back at any moment.
-  Opening OpeningAt(state::TimePoint aNow, bool aIsUrgent) const;
+  Unavailability UnavailabilityAt(state::TimePoint aNow, bool aIsUrgent) const;
 
   /// Closes connections on which no request waits.
   void CloseIdle();
@@ -228,7 +230,7 @@
   std::int64_t OpenConnections() const { return *mOpen; }
 
   /// Closes the connection that has rested the longest; false: none rests.
-  bool DropLongestIdle();
+  bool CloseLongestIdle();
 
   /// Closes connections that rested too long.
   void CloseStale(state::TimePoint aNow);
@@ -236,15 +238,15 @@
   /// Takes what an endpoint's companion said of it, or of the part store.
   ///
   /// @return the endpoint, if it started again; otherwise null
-  RelayEndpointPtr TakeNews(const protocol::EngineNews& aNews,
-                            state::TimePoint aNow);
+  RelayEndpointPtr ApplyNews(const protocol::EngineNews& aNews,
+                             state::TimePoint aNow);
 
   /// What the companion said, unless it is too old.
   const protocol::EngineNews* FreshNews(const RelayEndpoint& aEndpoint,
                                         state::TimePoint aNow) const;
 
   /// Takes that the machine of a host ended its companion's connection.
-  void NoteNewsEnded(std::string_view aHost);
+  void NoteNewsConnectionEnded(std::string_view aHost);
 
   /// Whether nothing shows that an endpoint's machine still runs.
   bool IsSilent(const RelayEndpoint& aEndpoint, state::TimePoint aNow) const;
@@ -254,7 +256,7 @@
 
   /// Wakes the requests that wait at endpoints whose machines have stopped:
   /// they may go on elsewhere.
-  void WakeAtStopped(state::TimePoint aNow);
+  void WakeRequestsAtStopped(state::TimePoint aNow);
 
   /// Notes that a request failed there, or that it went well.
   void NoteFailure(RelayEndpoint& aEndpoint, state::TimePoint aNow);
@@ -266,26 +268,26 @@
   const RelayEndpointSettings& Settings() const { return mSettings; }
 
   /// Words of former lives that were passed over.
-  std::uint64_t FormerWords() const { return mFormerWords; }
+  std::uint64_t StaleReports() const { return mStaleReports; }
 
 private:
   /// Puts another life in an endpoint's place: it is as if just listed, and
   /// what waits for its former life is cut off.
   RelayEndpointPtr BeginLife(RelayEndpointPtr& aEntry);
 
-  static state::LifeSigns SignsOf(const RelayEndpoint& aEndpoint,
-                                  state::TimePoint aNow);
-  static void TakeState(RelayEndpoint& aEndpoint,
-                        const protocol::EngineNews& aNews,
-                        state::TimePoint aNow);
+  static state::LivenessSignals SignsOf(const RelayEndpoint& aEndpoint,
+                                        state::TimePoint aNow);
+  static void ApplyState(RelayEndpoint& aEndpoint,
+                         const protocol::EngineNews& aNews,
+                         state::TimePoint aNow);
   /// Ends all that waits for an endpoint that is down.
-  static void CutOff(RelayEndpoint& aEndpoint);
+  static void CloseConnections(RelayEndpoint& aEndpoint);
 
   RelayEndpointSettings mSettings;
-  state::AvailabilityBook mAvailabilities;
+  state::AvailabilityRegistry mAvailabilities;
   state::PartIndex mParts;
   std::map<std::string, RelayEndpointPtr, std::less<>> mById;
-  std::uint64_t mFormerWords = 0;
+  std::uint64_t mStaleReports = 0;
   std::shared_ptr<std::int64_t> mOpen = std::make_shared<std::int64_t>(0);
 };
 
--- a/packages/coordination/src/relay_choice_view.cpp
+++ b/packages/coordination/src/relay_endpoint_choice.cpp
@@ -1,4 +1,4 @@
-#include "relay_choice_view.h"
+#include "relay_endpoint_choice.h"
 
 #include <algorithm>
 #include <map>
@@ -16,10 +16,10 @@
 
 /// An endpoint whose rate nobody asked about for so long is no longer passed
 /// over for others.
-constexpr Millis kRateRest{ 1000 };
+constexpr Millis kRateQueryTimeout{ 1000 };
 
 std::string
-SaltOf(const RelayAsk& aAsk, std::uint64_t aWeights)
+CacheSalt(const EndpointQuery& aAsk, std::uint64_t aWeights)
 {
   std::string salt = aAsk.mCall->mModel + "." + std::to_string(aWeights);
   if (!aAsk.mIsolatedTeam.empty()) {
@@ -34,7 +34,7 @@
 class CandidateList
 {
 public:
-  CandidateList(Relay::Core& aCore, const RelayAsk& aAsk)
+  CandidateList(Relay::Core& aCore, const EndpointQuery& aAsk)
     : mCore(aCore)
     , mAsk(aAsk)
     , mNow(aCore.mParts.mClock.Now())
@@ -62,7 +62,7 @@
 private:
   void Add(const RelayEndpointPtr& aEndpoint)
   {
-    const auto& tried = *mAsk.mTried;
+    const auto& tried = *mAsk.mTriedEndpoints;
     const bool isTried =
       std::find(tried.begin(), tried.end(), aEndpoint->mInfo.mId) !=
       tried.end();
@@ -93,9 +93,9 @@
                            mCore.mEndpoints.IsSilent(*aEndpoint, mNow);
     // Now and then it is asked like any other: its answer may say that the rate
     // is over.
-    candidate.mIsLimited = rate && mNow - rate->mHeardAt < kRateRest;
+    candidate.mIsLimited = rate && mNow - rate->mHeardAt < kRateQueryTimeout;
     candidate.mRunning = aEndpoint->mRunning;
-    candidate.mSuspects = aEndpoint->mSuspects;
+    candidate.mSuspectRequests = aEndpoint->mSuspectRequests;
     candidate.mSlots = aEndpoint->mInfo.mSlots;
     candidate.mQueuedTokens = aEndpoint->mWaiting.AheadOf(mAsk.mUrgency);
     if (news != nullptr) {
@@ -118,7 +118,7 @@
     const auto [found, isNew] = mHolders.try_emplace(aVersion);
     if (isNew) {
       found->second = mCore.mEndpoints.Parts().Holders(
-        state::PartName(SaltOf(mAsk, aVersion), part));
+        state::PartName(CacheSalt(mAsk, aVersion), part));
     }
     const auto& holders = found->second;
     return std::binary_search(
@@ -147,17 +147,17 @@
       return false;
     }
     // Nothing is heard of its companion: by the order that all compute alike.
-    const auto turn = state::TurnOf(
-      mNamed->mLoadOrder, aEndpoint.mInfo.mId, settings.mLoadTurns);
-    const auto age = mNow - mNamed->NewestKnownAt();
-    return turn && age >= *turn - settings.mLoadTurns.mClose &&
-           age < *turn + mCore.mLimits.mLoadPatience;
+    const auto turn = state::LoadStartOf(
+      mNamed->mLoadOrder, aEndpoint.mInfo.mId, settings.mLoadSchedule);
+    const auto age = mNow - mNamed->NewestLearnedAt();
+    return turn && age >= *turn - settings.mLoadSchedule.mDrainLead &&
+           age < *turn + mCore.mLimits.mLoadTimeout;
   }
 
   Relay::Core& mCore;
-  const RelayAsk& mAsk;
+  const EndpointQuery& mAsk;
   TimePoint mNow;
-  const NamedWeightsNews* mNamed = nullptr; ///< null: none was named
+  const WeightsHistory* mNamed = nullptr; ///< null: none was named
   std::vector<RelayCandidate> mCandidates;
   std::vector<RelayEndpointPtr> mEndpoints;
   std::map<std::uint64_t, std::vector<std::string>> mHolders; ///< by version
@@ -166,25 +166,27 @@
 /// Tokens that the endpoint will have to read: those of the request's own part
 /// and, if no other endpoint is known to have them, those of the shared ones.
 std::int64_t
-TokensToRead(Relay::Core& aCore, const RelayAsk& aAsk, const RelayPick& aPick)
+PrefillTokens(Relay::Core& aCore,
+              const EndpointQuery& aAsk,
+              const EndpointChoice& aPick)
 {
   const auto& parts = aAsk.mCall->mParts;
   if (parts.empty()) {
     return aAsk.mCall->mPromptTokens;
   }
-  const bool isKept = aCore.mEndpoints.Parts().IsKept(aPick.mPartName);
+  const bool isKept = aCore.mEndpoints.Parts().HasHolder(aPick.mPartName);
   return parts.back().mTokens + (isKept ? 0 : aAsk.mCall->SharedTokens());
 }
 
 /// The store that keeps a part, of several the one in a zone; empty: none does,
 /// as far as is known.
 std::string
-StoreThatKeeps(Relay::Core& aCore,
-               const std::string& aPartName,
-               std::string_view aZone)
+StoreHoldingPart(Relay::Core& aCore,
+                 const std::string& aPartName,
+                 std::string_view aZone)
 {
   std::string address;
-  for (const auto& store : aCore.mView->mConfig->Rules().mPartStores) {
+  for (const auto& store : aCore.mView->mConfig->Rules().mKvStores) {
     const bool isNearer = address.empty() || store.mZone == aZone;
     if (isNearer && aCore.mEndpoints.Parts().Holds(store.mAddress, aPartName)) {
       address = store.mAddress;
@@ -199,15 +201,15 @@
 /// milliseconds are neither moved nor waited for: they stood up to 2 s behind
 /// large ones, and kept those waiting.
 void
-FillPartSource(Relay::Core& aCore, RelayPick& aPick)
+SetPartLocations(Relay::Core& aCore, EndpointChoice& aPick)
 {
   const auto now = aCore.mParts.mClock.Now();
   const auto& name = aPick.mPartName;
   const auto& zone = aPick.mEndpoint->mInfo.mZone;
   const auto* own =
-    state::StoreOfPart(aCore.mView->mConfig->Rules().mPartStores, name, zone);
+    state::StoreOfPart(aCore.mView->mConfig->Rules().mKvStores, name, zone);
   const std::string ownStore = own == nullptr ? "" : own->mAddress;
-  const std::string keeper = StoreThatKeeps(aCore, name, zone);
+  const std::string keeper = StoreHoldingPart(aCore, name, zone);
   const auto& record = aCore.mLedger.At(name);
   const bool isSavedLately = now - record.mSavedAt < aCore.mLimits.mNewsDelay;
   if (!isSavedLately && keeper.empty()) {
@@ -226,8 +228,8 @@
 
 } // namespace
 
-std::optional<RelayPick>
-ChooseEndpoint(Relay::Core& aCore, const RelayAsk& aAsk)
+std::optional<EndpointChoice>
+ChooseEndpoint(Relay::Core& aCore, const EndpointQuery& aAsk)
 {
   const CandidateList list(aCore, aAsk);
   const auto& candidates = list.Candidates();
@@ -236,8 +238,9 @@
   std::optional<std::size_t> index;
   const bool isPlacedByPart =
     aAsk.mCall->SharedTokens() >= settings.mMinSharedTokens;
-  if (aAsk.mApartBy) {
-    index = state::ChooseApart(candidates, *aAsk.mApartBy, settings);
+  if (aAsk.mCrashSuspectHash) {
+    index =
+      state::ChooseForSuspect(candidates, *aAsk.mCrashSuspectHash, settings);
   } else if (isPlacedByPart) {
     const auto key = state::PlacementHash(part);
     index = state::ChooseByPart(candidates, key, settings);
@@ -249,8 +252,8 @@
   if (!index) {
     return std::nullopt;
   }
-  RelayPick pick;
-  pick.mIsApart = aAsk.mApartBy.has_value();
+  EndpointChoice pick;
+  pick.mIsCrashSuspect = aAsk.mCrashSuspectHash.has_value();
   pick.mEndpoint = list.At(*index);
   pick.mWeights = candidates[*index].mVersion;
   pick.mIsKept = candidates[*index].mHoldsPart;
@@ -262,36 +265,37 @@
       std::chrono::duration_cast<Millis>(now - pick.mEndpoint->mNewsAt);
   }
   if (pick.mWeights != 0) {
-    pick.mSalt = SaltOf(aAsk, pick.mWeights);
+    pick.mSalt = CacheSalt(aAsk, pick.mWeights);
   }
   if (isPlacedByPart) {
     pick.mPart = part;
     pick.mPartName = state::PartName(pick.mSalt, part);
-    FillPartSource(aCore, pick);
+    SetPartLocations(aCore, pick);
   }
-  pick.mTokensToRead = TokensToRead(aCore, aAsk, pick);
+  pick.mPrefillTokens = PrefillTokens(aCore, aAsk, pick);
   pick.mExpected =
-    aCore.mReadingRate.TimeOf(pick.mWaitingTokens + pick.mTokensToRead);
-  pick.mUrgency = state::UrgencyToSend(
+    aCore.mPrefillRate.TimeOf(pick.mWaitingTokens + pick.mPrefillTokens);
+  pick.mUrgency = state::EffectiveUrgency(
     { aAsk.mElapsed, pick.mExpected, aAsk.mObjective, aAsk.mUrgency },
     aCore.mLimits.mFirstToken);
-  pick.mIsBehind = pick.mUrgency > aAsk.mUrgency;
+  pick.mIsDeprioritized = pick.mUrgency > aAsk.mUrgency;
   return pick;
 }
 
 std::optional<ServiceOutage>
-OutageOf(Relay::Core& aCore, const RelayAsk& aAsk)
+OutageOf(Relay::Core& aCore, const EndpointQuery& aAsk)
 {
-  const auto& tried = *aAsk.mTried;
+  const auto& tried = *aAsk.mTriedEndpoints;
   const auto now = aCore.mParts.mClock.Now();
   ServiceOutage outage;
   bool isKnown = false;
   for (const auto& endpoint : aCore.mEndpoints.Listed(aAsk.mService)) {
-    if (!endpoint->TakesWork()) {
+    if (!endpoint->AcceptsWork()) {
       isKnown = true;
       continue;
     }
-    const auto opening = endpoint->OpeningAt(now, IsUrgent(aAsk.mUrgency));
+    const auto opening =
+      endpoint->UnavailabilityAt(now, IsUrgent(aAsk.mUrgency));
     const bool isOpen = opening.mObstacle == Obstacle::kNone;
     const bool isTried =
       std::find(tried.begin(), tried.end(), endpoint->mInfo.mId) != tried.end();
@@ -304,8 +308,8 @@
       outage.mUntil = std::min(outage.mUntil, opening.mAt);
     }
     const auto opensAt = isOpen ? now : opening.mAt;
-    if (opensAt < outage.mReturnAt) {
-      outage.mReturnAt = opensAt;
+    if (opensAt < outage.mReopensAt) {
+      outage.mReopensAt = opensAt;
       outage.mObstacle = opening.mObstacle;
     }
   }
--- a/packages/coordination/src/relay_choice_view.h
+++ b/packages/coordination/src/relay_endpoint_choice.h
@@ -7,22 +7,22 @@
 namespace shuntjunction::coordination {
 
 /// What a choice needs to know of a request.
-struct RelayAsk
+struct EndpointQuery
 {
   std::string_view mService;
-  const CallFacts* mCall = nullptr;
+  const CallInfo* mCall = nullptr;
   std::string_view mIsolatedTeam; ///< empty: parts are shared
-  const std::vector<std::string>* mTried = nullptr;
+  const std::vector<std::string>* mTriedEndpoints = nullptr;
   int mUrgency = 0;              ///< of the team or the route
   state::Millis mElapsed{ 0 };   ///< since the request's arrival
   state::Millis mObjective{ 0 }; ///< to its first token, from then
   /// Hash of a request under which an endpoint crashed: it goes its own way,
   /// apart from those that ran beside it.
-  std::optional<std::uint64_t> mApartBy;
+  std::optional<std::uint64_t> mCrashSuspectHash;
 };
 
 /// An endpoint, and how the request is handed to it.
-struct RelayPick
+struct EndpointChoice
 {
   RelayEndpointPtr mEndpoint;
   std::uint64_t mWeights = 0; ///< 0 for a plain service
@@ -32,10 +32,12 @@
   std::string mPartSource; ///< address
   std::string mPartStore;  ///< address to save to; empty: not
   bool mIsKept = false;    ///< the endpoint keeps the part, as far as is known
-  std::int64_t mTokensToRead = 0; ///< estimate
-  int mUrgency = 0;               ///< by which the engine shall order it
-  bool mIsApart = false;    ///< an endpoint crashed under the request before
-  bool mIsBehind = false;   ///< expected late: behind those that can be in time
+  std::int64_t mPrefillTokens = 0; ///< estimate
+  int mUrgency = 0;                ///< by which the engine shall order it
+  bool mIsCrashSuspect =
+    false; ///< an endpoint crashed under the request before
+  bool mIsDeprioritized =
+    false;                  ///< expected late: behind those that can be in time
   state::TimePoint mSentAt; ///< set when it is sent
   // What was known when it was chosen, for the log.
   std::size_t mCandidates = 0;     ///< endpoints that were weighed
@@ -45,8 +47,8 @@
 };
 
 /// Chooses an endpoint; empty when none may take the request now.
-std::optional<RelayPick>
-ChooseEndpoint(Relay::Core& aCore, const RelayAsk& aAsk);
+std::optional<EndpointChoice>
+ChooseEndpoint(Relay::Core& aCore, const EndpointQuery& aAsk);
 
 /// Whether a request goes first where places are few.
 inline bool
@@ -62,7 +64,7 @@
   /// Until an endpoint takes this request, which each gets once at the most.
   state::TimePoint mUntil = state::TimePoint::max();
   /// When an endpoint takes requests again at all; max: none is known to.
-  state::TimePoint mReturnAt = state::TimePoint::max();
+  state::TimePoint mReopensAt = state::TimePoint::max();
   /// What keeps requests away from that one; kNone: nothing does.
   state::Obstacle mObstacle = state::Obstacle::kDraining;
   double mPerSecond = 0; ///< of the endpoints that name rates
@@ -71,7 +73,7 @@
 /// The outage of a request's service; empty: there is none, or no endpoint is
 /// known.
 std::optional<ServiceOutage>
-OutageOf(Relay::Core& aCore, const RelayAsk& aAsk);
+OutageOf(Relay::Core& aCore, const EndpointQuery& aAsk);
 
 /// Whether no endpoint of a service can be reached, as far as is known.
 bool
--- a/packages/coordination/src/relay_feed.cpp
+++ b/packages/coordination/src/relay_feed.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "relay_feed_topic.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 namespace shuntjunction::coordination {
 
@@ -27,7 +27,7 @@
 constexpr Millis kProbeWait{ 1 };
 
 /// Times of trouble at another process that differ by less are the same.
-constexpr Millis kTroubleStep{ 100 };
+constexpr Millis kMinFailureGap{ 100 };
 
 } // namespace
 
@@ -38,7 +38,7 @@
                      const state::Clock& aClock,
                      EventLog& aLog,
                      state::ObjectMirror& aMirror,
-                     Taker aTake)
+                     Handler aTake)
   : mContext(aContext)
   , mSettings(aSettings)
   , mPlatform(aPlatform)
@@ -71,45 +71,45 @@
     };
   };
   const auto takeConfig = [this](const RawObject& aObject) {
-    return TakeConfig(aObject);
+    return ApplyConfig(aObject);
   };
   const auto takeWeights = [this](const RawObject& aObject) {
-    return TakeWeights(aObject);
+    return ApplyWeights(aObject);
   };
   mConfigTopic->mPrefix = mCodec.ConfigPrefix();
   mConfigTopic->mWait = mSettings.mConfigWait;
-  mConfigTopic->mConfirms = true;
-  mConfigTopic->mTakeList = each(takeConfig);
-  mConfigTopic->mTakeChange = takeConfig;
+  mConfigTopic->mConfirmsConfig = true;
+  mConfigTopic->mApplyList = each(takeConfig);
+  mConfigTopic->mApplyChange = takeConfig;
 
   mWeightsTopic->mPrefix = mCodec.WeightsPrefix();
   mWeightsTopic->mWait = mSettings.mListWait;
-  mWeightsTopic->mIsChecked = true;
-  mWeightsTopic->mTakeList = each(takeWeights);
-  mWeightsTopic->mTakeChange = takeWeights;
+  mWeightsTopic->mDetectsDeadWatch = true;
+  mWeightsTopic->mApplyList = each(takeWeights);
+  mWeightsTopic->mApplyChange = takeWeights;
 
   mQuarantineTopic->mPrefix = mCodec.QuarantinePrefix();
   mQuarantineTopic->mWait = mSettings.mListWait;
-  mQuarantineTopic->mTakeList = [this](const auto& aObjects) {
+  mQuarantineTopic->mApplyList = [this](const auto& aObjects) {
     mView.mQuarantined.clear();
     for (const auto& object : aObjects) {
-      TakeQuarantined(object);
+      ApplyQuarantined(object);
     }
     return true;
   };
-  mQuarantineTopic->mTakeChange = [this](const RawObject& aObject) {
-    TakeQuarantined(aObject);
+  mQuarantineTopic->mApplyChange = [this](const RawObject& aObject) {
+    ApplyQuarantined(aObject);
   };
 
   mEndpointTopic->mPrefix = mCodec.EndpointPrefix();
   mEndpointTopic->mWait = mSettings.mListWait;
   mEndpointTopic->mPauseAfterChange = mSettings.mListPause;
-  mEndpointTopic->mIsChecked = true;
-  mEndpointTopic->mTakeList = [this](const auto& aObjects) {
-    return TakeEndpointList(aObjects);
+  mEndpointTopic->mDetectsDeadWatch = true;
+  mEndpointTopic->mApplyList = [this](const auto& aObjects) {
+    return ApplyEndpointList(aObjects);
   };
-  mEndpointTopic->mTakeChange = [this](const auto& aObject) {
-    TakeEndpoint(aObject);
+  mEndpointTopic->mApplyChange = [this](const auto& aObject) {
+    ApplyEndpoint(aObject);
   };
 }
 
@@ -131,9 +131,9 @@
   if (mSettings.mFollowsQuarantine) {
     transport::Spawn(mContext, Follow(*mQuarantineTopic));
   }
-  transport::Spawn(mContext, ExpireLapsed());
+  transport::Spawn(mContext, ExpireEndpoints());
   if (!mSettings.mWatchesConfig) {
-    transport::Spawn(mContext, CheckPulse());
+    transport::Spawn(mContext, CheckStoreLiveness());
   }
 }
 
@@ -143,7 +143,7 @@
   if (mSettings.mWatchesConfig || std::exchange(mIsWatching, true)) {
     return;
   }
-  mLog.Write(EventLine(kFeedPart, "watching"));
+  mLog.Write(EventLine(kFeedComponent, "watching"));
   mConfigTopic->mWait = mSettings.mWatcherWait;
   mConfigTopic->mIsListed = false;
   mEndpointTopic->mPauseAfterChange = mSettings.mWatcherPause;
@@ -158,7 +158,7 @@
   if (!std::exchange(mIsWatching, false)) {
     return;
   }
-  mLog.Write(EventLine(kFeedPart, "watching-ended"));
+  mLog.Write(EventLine(kFeedComponent, "watching-ended"));
   mEndpointTopic->mPauseAfterChange = mSettings.mListPause;
   // It is not kept current any more, and leaves out what it does not name.
   mView.mConfig = std::make_shared<const state::RelayConfig>();
@@ -191,10 +191,10 @@
     if (aTopic.mIsAbandoned) {
       continue;
     }
-    NoteTrouble(aTopic, done.error());
+    NoteCallFailure(aTopic, done.error());
     aTopic.mPause = std::clamp(
       aTopic.mPause * 2, mSettings.mFirstPause, mSettings.mLongestPause);
-    co_await transport::Sleep(state::SpreadPause(aTopic.mPause, mRandom));
+    co_await transport::Sleep(state::JitteredPause(aTopic.mPause, mRandom));
   }
   aTopic.mIsFollowed = false;
 }
@@ -207,12 +207,12 @@
     co_return tl::unexpected(list.error());
   }
   const auto askedAt = NoteSource(
-    list->mSecondHand, *std::exchange(aTopic.mAskedAt, std::nullopt));
+    list->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
   aTopic.mIsListed = true;
   if (list->mRevision >= aTopic.mRevision) {
-    TakeList(aTopic, *list);
+    MergeList(aTopic, *list);
   }
-  if (aTopic.mConfirms) {
+  if (aTopic.mConfirmsConfig) {
     mConfirmed.Confirm(askedAt);
   }
   NoteRevision(aTopic, list->mRevision, askedAt);
@@ -231,22 +231,22 @@
   }
   if (answer->mIsGap) {
     aTopic.mIsListed = false;
-    mLog.Write(EventLine(kFeedPart, "watch-gap")
+    mLog.Write(EventLine(kFeedComponent, "watch-gap")
                  .Add("objects", aTopic.mPrefix)
                  .Add("revision", aTopic.mRevision));
     co_return Result<void>{};
   }
   const auto askedAt = NoteSource(
-    answer->mSecondHand, *std::exchange(aTopic.mAskedAt, std::nullopt));
+    answer->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
   // The list may have been read meanwhile, and know some of them already.
   const auto known = aTopic.mRevision;
   for (const auto& change : answer->mChanges) {
     if (known == after || change.mRevision > known) {
-      TakeChange(aTopic, change);
+      MergeChange(aTopic, change);
     }
   }
   aTopic.mRevision = std::max(known, answer->mRevision);
-  if (aTopic.mConfirms) {
+  if (aTopic.mConfirmsConfig) {
     mConfirmed.Confirm(askedAt);
   }
   NoteRevision(aTopic, answer->mRevision, askedAt);
@@ -260,7 +260,7 @@
 }
 
 state::TimePoint
-RelayFeed::NoteSource(const std::optional<SecondHand>& aSource,
+RelayFeed::NoteSource(const std::optional<MirrorFreshness>& aSource,
                       state::TimePoint aAskedAt)
 {
   if (!aSource) {
@@ -268,7 +268,7 @@
   }
   // Its age is told anew with each answer, some ms more or less.
   const bool isNew =
-    aSource->mTroubleAt && *aSource->mTroubleAt > mTroubleAt + kTroubleStep;
+    aSource->mTroubleAt && *aSource->mTroubleAt > mTroubleAt + kMinFailureGap;
   if (isNew) {
     mTroubleAt = *aSource->mTroubleAt;
     mDirectory.NoteOutage(mTroubleAt);
@@ -277,14 +277,15 @@
 }
 
 void
-RelayFeed::TellMirror()
+RelayFeed::UpdateMirror()
 {
   const auto now = mClock.Now();
   for (auto* topic : Topics()) {
     const auto& fresh = topic->mFreshness;
-    const auto age = topic->mConfirms ? mConfirmed.Age(now) : fresh.Age(now);
+    const auto age =
+      topic->mConfirmsConfig ? mConfirmed.Age(now) : fresh.Age(now);
     if (topic->mIsListed && age != Millis::max()) {
-      mMirror.NoteTopic(topic->mPrefix, fresh.Known(), now - age);
+      mMirror.UpdateTopic(topic->mPrefix, fresh.Known(), now - age);
     }
   }
 }
@@ -298,15 +299,15 @@
 }
 
 void
-RelayFeed::NoteTrouble(Topic& aTopic, const Error& aError)
+RelayFeed::NoteCallFailure(Topic& aTopic, const Error& aError)
 {
   mTroubleAt = mClock.Now();
   mDirectory.NoteOutage(mTroubleAt);
-  mMirror.NoteTrouble(mTroubleAt);
+  mMirror.NotePlatformFailure(mTroubleAt);
   if (std::exchange(aTopic.mIsLost, true)) {
     return;
   }
-  mLog.Write(EventLine(kFeedPart, "platform-lost")
+  mLog.Write(EventLine(kFeedComponent, "platform-lost")
                .Add("objects", aTopic.mPrefix)
                .Add("revision", aTopic.mRevision)
                .Add("error", aError.Describe()));
@@ -320,14 +321,14 @@
   if (!std::exchange(aTopic.mIsLost, false)) {
     return;
   }
-  mLog.Write(EventLine(kFeedPart, "platform-regained")
+  mLog.Write(EventLine(kFeedComponent, "platform-regained")
                .Add("objects", aTopic.mPrefix)
                .Add("revision", aTopic.mRevision));
   AbandonOldCalls();
 }
 
 Task<void>
-RelayFeed::ExpireLapsed()
+RelayFeed::ExpireEndpoints()
 {
   while (true) {
     co_await transport::Sleep(kExpiryInterval);
--- a/packages/coordination/src/relay_feed_liveness.cpp
+++ b/packages/coordination/src/relay_feed_liveness.cpp
@@ -18,11 +18,11 @@
 constexpr Millis kWatchGrace{ 200 };
 
 /// How often a list that is behind is looked at meanwhile.
-constexpr Millis kCheckStep{ 50 };
+constexpr Millis kCheckPollInterval{ 50 };
 
 /// How often a process that does not watch the configuration looks whether the
 /// store still answers: its own watches wait far longer.
-constexpr Millis kPulseInterval{ 3000 };
+constexpr Millis kStoreCheckInterval{ 3000 };
 
 } // namespace
 
@@ -31,35 +31,35 @@
                         std::uint64_t aRevision,
                         state::TimePoint aAskedAt)
 {
-  aTopic.mFreshness.TakeOwn(aRevision, aAskedAt);
+  aTopic.mFreshness.NoteListRevision(aRevision, aAskedAt);
   for (auto* other : Topics()) {
     if (other != &aTopic) {
-      other->mFreshness.TakeStore(aRevision, aAskedAt);
+      other->mFreshness.NoteStoreRevision(aRevision, aAskedAt);
     }
   }
-  TellMirror();
+  UpdateMirror();
   if (IsFollowed(*mConfigTopic)) {
     CheckLists();
   }
 }
 
 bool
-RelayFeed::TakeList(Topic& aTopic, const ObjectList& aList)
+RelayFeed::MergeList(Topic& aTopic, const ObjectList& aList)
 {
   aTopic.mRevision = aList.mRevision;
-  mMirror.TakeList(
+  mMirror.MergeList(
     aTopic.mPrefix, aList.mRevision, aList.mObjects, mClock.Now());
-  return aTopic.mTakeList(aList.mObjects);
+  return aTopic.mApplyList(aList.mObjects);
 }
 
 void
-RelayFeed::TakeChange(Topic& aTopic, const state::RawObject& aChange)
+RelayFeed::MergeChange(Topic& aTopic, const state::RawObject& aChange)
 {
-  mMirror.TakeChange(aChange, mClock.Now());
-  aTopic.mTakeChange(aChange);
+  mMirror.MergeChange(aChange, mClock.Now());
+  aTopic.mApplyChange(aChange);
   for (auto* other : Topics()) {
     if (other != &aTopic) {
-      other->mFreshness.TakeOther(aChange.mRevision);
+      other->mFreshness.NoteOtherRevision(aChange.mRevision);
     }
   }
 }
@@ -73,7 +73,7 @@
 RelayFeed::CheckLists()
 {
   for (auto* topic : Topics()) {
-    const bool isDue = topic->mIsChecked && topic->mIsListed &&
+    const bool isDue = topic->mDetectsDeadWatch && topic->mIsListed &&
                        topic->mFreshness.IsBehind() && !topic->mIsBeingChecked;
     if (isDue) {
       topic->mIsBeingChecked = true;
@@ -93,16 +93,16 @@
       aTopic.mAskedAt &&
       mClock.Now() - std::max(*aTopic.mAskedAt, toldAt) >= kWatchGrace;
     if (isMute) {
-      co_await ReadListAnew(aTopic);
+      co_await RereadList(aTopic);
       break;
     }
-    co_await transport::Sleep(kCheckStep);
+    co_await transport::Sleep(kCheckPollInterval);
   }
   aTopic.mIsBeingChecked = false;
 }
 
 Task<void>
-RelayFeed::ReadListAnew(Topic& aTopic)
+RelayFeed::RereadList(Topic& aTopic)
 {
   auto askedAt = mClock.Now();
   const auto list = co_await mPlatform.List(aTopic.mPrefix);
@@ -110,7 +110,7 @@
     // The next answer that tells of a change asks for it again.
     mTroubleAt = mClock.Now();
     mDirectory.NoteOutage(mTroubleAt);
-    mLog.Write(EventLine(kFeedPart, "list-unread")
+    mLog.Write(EventLine(kFeedComponent, "list-unread")
                  .Add("objects", aTopic.mPrefix)
                  .Add("error", list.error().Describe()));
     co_return;
@@ -118,15 +118,15 @@
   if (list->mRevision <= aTopic.mRevision) {
     co_return;
   }
-  askedAt = NoteSource(list->mSecondHand, askedAt);
+  askedAt = NoteSource(list->mMirrorFreshness, askedAt);
   const auto before = aTopic.mRevision;
-  const bool isNews = TakeList(aTopic, *list);
-  aTopic.mFreshness.TakeOwn(list->mRevision, askedAt);
-  TellMirror();
+  const bool isNews = MergeList(aTopic, *list);
+  aTopic.mFreshness.NoteListRevision(list->mRevision, askedAt);
+  UpdateMirror();
   if (!isNews) {
     co_return;
   }
-  mLog.Write(EventLine(kFeedPart, "watch-dead")
+  mLog.Write(EventLine(kFeedComponent, "watch-dead")
                .Add("objects", aTopic.mPrefix)
                .Add("revision", before)
                .Add("listed", list->mRevision));
@@ -162,23 +162,23 @@
 }
 
 Task<void>
-RelayFeed::CheckPulse()
+RelayFeed::CheckStoreLiveness()
 {
   bool areWatchesStale = false;
   while (true) {
-    co_await transport::Sleep(kPulseInterval);
+    co_await transport::Sleep(kStoreCheckInterval);
     if (mWeightsTopic->mIsLost || mIsWatching) {
       // It asks again by itself, or the configuration's watch tells.
       continue;
     }
-    const auto list = co_await mPlatform.Glance(mCodec.WeightsPrefix());
+    const auto list = co_await mPlatform.ListCached(mCodec.WeightsPrefix());
     // Newer weights the watch should have told: it is not going to.
     if (!list || HasNewerWeights(*list)) {
       areWatchesStale = true;
       mTroubleAt = mClock.Now();
     }
     if (list && std::exchange(areWatchesStale, false)) {
-      mLog.Write(EventLine(kFeedPart, "watches-renewed")
+      mLog.Write(EventLine(kFeedComponent, "watches-renewed")
                    .Add("objects", mWeightsTopic->mPrefix)
                    .Add("revision", mWeightsTopic->mRevision));
       AbandonOldCalls();
--- a/packages/coordination/src/relay_feed_objects.cpp
+++ b/packages/coordination/src/relay_feed_objects.cpp
@@ -4,13 +4,13 @@
 
 #include "relay_feed_topic.h"
 #include "shuntjunction/coordination/relay_feed.h"
-#include "shuntjunction/state/load_turns.h"
+#include "shuntjunction/state/load_schedule.h"
 #include "shuntjunction/state/settings.h"
 
 namespace shuntjunction::coordination {
 
 std::map<std::string, std::string>
-CompanionsOf(const std::vector<state::EndpointInfo>& aEndpoints)
+CompanionZones(const std::vector<state::EndpointInfo>& aEndpoints)
 {
   std::map<std::string, std::string> zoneByHost;
   for (const auto& endpoint : aEndpoints) {
@@ -27,7 +27,7 @@
 namespace {
 
 /// Versions of a model that are remembered; older ones are out of use.
-constexpr std::size_t kMaxNamings = 16;
+constexpr std::size_t kMaxVersions = 16;
 
 /// Objects that cannot be read whose last revision is remembered, so that each
 /// is logged once.
@@ -43,18 +43,18 @@
 } // namespace
 
 std::optional<state::TimePoint>
-NamedWeightsNews::SupersededAt(std::uint64_t aVersion) const
+WeightsHistory::SupersededAt(std::uint64_t aVersion) const
 {
-  for (const auto& naming : mNamings) {
+  for (const auto& naming : mVersions) {
     if (naming.mVersion > aVersion) {
-      return naming.mKnownAt;
+      return naming.mLearnedAt;
     }
   }
   return std::nullopt;
 }
 
 bool
-RelayFeed::TakeConfig(const RawObject& aObject)
+RelayFeed::ApplyConfig(const RawObject& aObject)
 {
   if (!mCodec.IsConfig(aObject.mKey) || aObject.mValue.empty()) {
     return false;
@@ -68,7 +68,7 @@
     return false;
   }
   mView.mConfig = std::make_shared<const state::RelayConfig>(std::move(*rules));
-  mLog.Write(EventLine(kFeedPart, "config")
+  mLog.Write(EventLine(kFeedComponent, "config")
                .Add("version", mView.mConfig->Version())
                .Add("revision", aObject.mRevision)
                .Add("routes", mView.mConfig->Rules().mRoutes.size())
@@ -89,7 +89,7 @@
     return;
   }
   ++mRefusedObjects;
-  mLog.Write(EventLine(kFeedPart, aEvent)
+  mLog.Write(EventLine(kFeedComponent, aEvent)
                .Add("object", aObject.mKey)
                .Add("revision", aObject.mRevision)
                .Add("error", aError.Describe()));
@@ -122,13 +122,13 @@
 }
 
 void
-RelayFeed::TakeEndpoint(const RawObject& aObject)
+RelayFeed::ApplyEndpoint(const RawObject& aObject)
 {
   const auto now = mClock.Now();
   const std::string id = IdOf(aObject);
   if (aObject.mValue.empty()) {
     mDirectory.Remove(id, now);
-    mLog.Write(EventLine(kFeedPart, "endpoint-removed")
+    mLog.Write(EventLine(kFeedComponent, "endpoint-removed")
                  .Add("endpoint", id)
                  .Add("revision", aObject.mRevision));
     return;
@@ -139,11 +139,11 @@
     return;
   }
   mDirectory.Put(*endpoint, now);
-  EventLine line(kFeedPart, "endpoint");
+  EventLine line(kFeedComponent, "endpoint");
   line.Add("endpoint", id)
     .Add("address", endpoint->mAddress)
     .Add("leaving", endpoint->mIsLeaving)
-    .Add("started_at", endpoint->mLife.StartedAt())
+    .Add("started_at", endpoint->mEndpointIncarnation.StartedAt())
     .Add("revision", aObject.mRevision);
   if (!endpoint->mModels.empty()) {
     line.Add("weights", endpoint->mModels.front().mVersion);
@@ -152,7 +152,7 @@
 }
 
 bool
-RelayFeed::TakeEndpointList(const std::vector<RawObject>& aObjects)
+RelayFeed::ApplyEndpointList(const std::vector<RawObject>& aObjects)
 {
   std::vector<state::EndpointInfo> listed;
   bool isNews = false;
@@ -163,15 +163,15 @@
       isNews = mDirectory.Drop(IdOf(object)) || isNews;
     }
   }
-  isNews = mDirectory.TakeList(listed, mClock.Now()) || isNews;
-  mLog.Write(EventLine(kFeedPart, "endpoint-list")
+  isNews = mDirectory.MergeList(listed, mClock.Now()) || isNews;
+  mLog.Write(EventLine(kFeedComponent, "endpoint-list")
                .Add("endpoints", listed.size())
                .Add("revision", mEndpointTopic->mRevision));
   return isNews;
 }
 
 bool
-RelayFeed::TakeWeights(const RawObject& aObject)
+RelayFeed::ApplyWeights(const RawObject& aObject)
 {
   if (aObject.mValue.empty()) {
     return false;
@@ -185,12 +185,13 @@
   if (weights->mVersion <= known.Newest()) {
     return false;
   }
-  known.mNamings.push_back({ weights->mVersion, mClock.Now() - aObject.mAge });
-  if (known.mNamings.size() > kMaxNamings) {
-    known.mNamings.erase(known.mNamings.begin());
+  known.mVersions.push_back({ weights->mVersion, mClock.Now() - aObject.mAge });
+  if (known.mVersions.size() > kMaxVersions) {
+    known.mVersions.erase(known.mVersions.begin());
   }
-  known.mLoadOrder = state::LoadOrder(mDirectory.Endpoints(), *weights);
-  mLog.Write(EventLine(kFeedPart, "weights-named")
+  known.mLoadOrder =
+    state::WeightLoadSequence(mDirectory.Endpoints(), *weights);
+  mLog.Write(EventLine(kFeedComponent, "weights-named")
                .Add("model", weights->mModel)
                .Add("weights", weights->mVersion)
                .Add("revision", aObject.mRevision));
@@ -198,7 +199,7 @@
 }
 
 bool
-RelayFeed::TakeQuarantined(const RawObject& aObject)
+RelayFeed::ApplyQuarantined(const RawObject& aObject)
 {
   if (aObject.mValue.empty()) {
     const auto request = state::RequestDigest::Parse(IdOf(aObject));
--- a/packages/coordination/src/relay_feed_topic.h
+++ b/packages/coordination/src/relay_feed_topic.h
@@ -12,7 +12,7 @@
 namespace shuntjunction::coordination {
 
 /// Names the feed in log lines.
-inline constexpr std::string_view kFeedPart = "feed";
+inline constexpr std::string_view kFeedComponent = "feed";
 
 /// One kind of objects that is followed.
 struct RelayFeed::Topic
@@ -20,17 +20,17 @@
   std::string mPrefix;
   state::Millis mWait{ 0 };
   state::Millis mPauseAfterChange{ 0 };
-  bool mConfirms = false;
+  bool mConfirmsConfig = false;
   /// Takes the whole list; whether it brought anything new.
-  std::function<bool(const std::vector<state::RawObject>&)> mTakeList;
-  std::function<void(const state::RawObject&)> mTakeChange;
+  std::function<bool(const std::vector<state::RawObject>&)> mApplyList;
+  std::function<void(const state::RawObject&)> mApplyChange;
 
   std::uint64_t mRevision = 0;
   bool mIsListed = false;
   bool mIsFollowed = false; ///< of the configuration: calls are made
   bool mIsLost = false;     ///< the last call failed
   /// Whether a silent watch shall be found out, see RelayFeed::CheckLists.
-  bool mIsChecked = false;
+  bool mDetectsDeadWatch = false;
   state::ListFreshness mFreshness;
   bool mIsBeingChecked = false;
   /// When the call that waits was made; empty while none waits.
--- a/packages/coordination/src/relay_limits.cpp
+++ b/packages/coordination/src/relay_limits.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "relay_run.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 // The part of a run that keeps its team's limit.
 
@@ -16,7 +16,7 @@
 constexpr Millis kSilentPause{ 500 };
 
 /// What a share that ran dry should have again before it is asked again.
-constexpr double kUsageToAskAgain = 1000;
+constexpr double kUsageBeforeRetry = 1000;
 constexpr Millis kLeastPause{ 50 };
 constexpr Millis kMostPause{ 250 };
 
@@ -26,12 +26,12 @@
 
 /// How long a share that ran dry is left out.
 Millis
-PauseOfShare(const state::UsageLimit& aLimit)
+EmptySharePause(const state::UsageLimit& aLimit)
 {
   constexpr double kMillisPerSecond = 1000.0;
   const double perSecond =
-    aLimit.mPerSecond / static_cast<double>(state::kSharesOfLimit);
-  const double pause = kUsageToAskAgain / perSecond * kMillisPerSecond;
+    aLimit.mPerSecond / static_cast<double>(state::kSharesPerLimit);
+  const double pause = kUsageBeforeRetry / perSecond * kMillisPerSecond;
   return Millis(static_cast<std::int64_t>(
     std::clamp(pause,
                static_cast<double>(kLeastPause.count()),
@@ -41,59 +41,59 @@
 } // namespace
 
 std::uint32_t
-RelayRun::UsageOfRequest() const
+RelayRun::RequestCost() const
 {
   if (mTeam->mUnit == state::UsageUnit::kRequests) {
     return 1;
   }
   const auto bounded = [](std::int64_t aTokens) {
-    return std::clamp<std::int64_t>(aTokens, 0, state::kMostUsage);
+    return std::clamp<std::int64_t>(aTokens, 0, state::kMaxUsage);
   };
   const auto named =
     bounded(mCall.mPromptTokens) + bounded(mCall.mMaxNewTokens);
   return static_cast<std::uint32_t>(
-    bounded(named > 0 ? named : mTeam->mPlainUsage));
+    bounded(named > 0 ? named : mTeam->mDefaultUsage));
 }
 
 Task<bool>
-RelayRun::HoldUsage()
+RelayRun::ReserveUsage()
 {
   const bool isLimited = mTeam != nullptr && mTeam->mLimit.IsLimited();
-  if (!isLimited || !mHeldUsage.empty()) {
+  if (!isLimited || !mReservedUsage.empty()) {
     co_return true;
   }
-  const auto amount = UsageOfRequest();
+  const auto amount = RequestCost();
   const auto until = mArrival + std::max(kRetrySoon, mRoute->mObjective / 2);
-  UsageAnswer answer;
+  UsageReservation answer;
   while (mInterrupt == RunInterrupt::kNone) {
-    answer = co_await AskForUsage(amount);
+    answer = co_await RequestUsage(amount);
     if (answer.mHeld >= amount) {
       co_return true;
     }
-    ReturnUsage();
+    ReleaseUsage();
     // With no companion in reach nothing is known of the limit. After a return
     // of everything they come one after the other, and one is enough.
     if (answer.mAsked > 0 || Now() >= until) {
       break;
     }
-    co_await transport::Sleep(kWaitStep);
+    co_await transport::Sleep(kPollInterval);
   }
   if (mInterrupt == RunInterrupt::kNone) {
     mIsOverLimit = answer.mAsked > 0;
     mLastProblem = mIsOverLimit ? "over-limit" : "limit-unknown";
-    mRetryAfter = state::SpreadPause(
+    mRetryAfter = state::JitteredPause(
       std::clamp(answer.mRefill, kLeastReturn, kMostReturn), mCore->mRandom);
     LogLimit(answer, amount);
   }
   co_return false;
 }
 
-Task<UsageAnswer>
-RelayRun::AskForUsage(std::uint32_t aAmount)
+Task<UsageReservation>
+RelayRun::RequestUsage(std::uint32_t aAmount)
 {
-  UsageAnswer answer;
+  UsageReservation answer;
   auto& shares = mCore->mShares;
-  const auto& ask = mCore->mParts.mAskShare;
+  const auto& ask = mCore->mParts.mRequestShare;
   const auto sources = shares.SourcesOf(state::HashOfTeam(mTeam->mName),
                                         mCore->mParts.mSettings.mZone);
   for (const auto& source : sources) {
@@ -117,21 +117,21 @@
     if (!grant) {
       ++answer.mSilent;
       // One that is not connected costs nothing to ask again.
-      if (Now() - askedAt >= kWaitStep) {
-        shares.Close(
+      if (Now() - askedAt >= kPollInterval) {
+        shares.Exclude(
           source.mKey, state::ShareState::kSilent, Now() + kSilentPause);
       }
       continue;
     }
     ++answer.mAsked;
     if (grant->mAmount > 0) {
-      mHeldUsage.push_back({ source, grant->mAmount });
+      mReservedUsage.push_back({ source, grant->mAmount });
       answer.mHeld += grant->mAmount;
     }
     if (grant->mAmount < question.mAmount) {
-      shares.Close(source.mKey,
-                   state::ShareState::kEmpty,
-                   Now() + PauseOfShare(mTeam->mLimit));
+      shares.Exclude(source.mKey,
+                     state::ShareState::kEmpty,
+                     Now() + EmptySharePause(mTeam->mLimit));
       answer.mRefill = std::max(answer.mRefill, grant->mRefill);
     }
   }
@@ -139,19 +139,19 @@
 }
 
 void
-RelayRun::ReturnUsage()
+RelayRun::ReleaseUsage()
 {
   const auto& giveBack = mCore->mParts.mReturnShare;
-  for (const auto& held : mHeldUsage) {
+  for (const auto& held : mReservedUsage) {
     if (giveBack) {
       giveBack(held.mSource.mHost, { held.mSource.mKey, held.mAmount });
     }
   }
-  mHeldUsage.clear();
+  mReservedUsage.clear();
 }
 
 void
-RelayRun::NoteUsage(AttemptOutcome aOutcome)
+RelayRun::CommitUsage(AttemptOutcome aOutcome)
 {
   switch (aOutcome) {
     case AttemptOutcome::kUnsent:
@@ -167,16 +167,16 @@
     case AttemptOutcome::kBroken:
     case AttemptOutcome::kSilent:
     case AttemptOutcome::kInterrupted:
-      mHeldUsage.clear();
+      mReservedUsage.clear();
       return;
   }
 }
 
 void
-RelayRun::LogLimit(const UsageAnswer& aAnswer, std::uint32_t aAmount)
+RelayRun::LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount)
 {
   mCore->mParts.mLog.Write(
-    EventLine(kRelayPart, "limit", mCall.mRequestId)
+    EventLine(kRelayComponent, "limit", mCall.mRequestId)
       .Add("outcome", mLastProblem)
       .Add("team", mTeam->mName)
       .Add("unit", state::kUsageUnitNames.Name(mTeam->mUnit))
--- a/packages/coordination/src/relay_notices.cpp
+++ b/packages/coordination/src/relay_notices.cpp
@@ -7,7 +7,7 @@
 using state::Millis;
 using state::Obstacle;
 
-RelayNotices::RelayNotices(const RelayParts& aParts)
+RelayNotices::RelayNotices(const RelayDependencies& aParts)
   : mParts(aParts)
 {
 }
@@ -33,7 +33,7 @@
   mParts.mMetrics.Count("shuntjunction_relay_notices_total",
                         { { "service", aEndpoint.mInfo.mService },
                           { "notice", std::string(what) } });
-  mParts.mLog.Write(EventLine(kRelayPart, "endpoint-notice", aRequestId)
+  mParts.mLog.Write(EventLine(kRelayComponent, "endpoint-notice", aRequestId)
                       .Add("notice", what)
                       .Add("endpoint", aEndpoint.mInfo.mId)
                       .Add("service", aEndpoint.mInfo.mService)
--- a/packages/coordination/src/relay_notices.h
+++ b/packages/coordination/src/relay_notices.h
@@ -16,7 +16,7 @@
 {
 public:
   /// @param aParts  outlive this
-  explicit RelayNotices(const RelayParts& aParts);
+  explicit RelayNotices(const RelayDependencies& aParts);
 
   /// Takes that an answer reports a drain, or asks for a cooldown.
   ///
@@ -32,7 +32,7 @@
   void CountRefused(const std::string& aService, state::Obstacle aObstacle);
 
 private:
-  const RelayParts& mParts;
+  const RelayDependencies& mParts;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_places.cpp
+++ b/packages/coordination/src/relay_permits.cpp
@@ -1,5 +1,5 @@
 #include "relay_run.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 // The part of a run that keeps to what endpoints advertise.
 
@@ -11,12 +11,12 @@
 namespace {
 
 /// Callers that an outage turned away come back within this after its end.
-constexpr Millis kReturnSpread{ 500 };
+constexpr Millis kRetryAfterSpread{ 500 };
 
 } // namespace
 
 Task<bool>
-RelayRun::HoldPlace(const RelayPick& aPick)
+RelayRun::AcquirePermit(const EndpointChoice& aPick)
 {
   if (!aPick.mEndpoint->mRate) {
     co_return true;
@@ -26,13 +26,13 @@
 }
 
 bool
-RelayRun::HasPlaceAt(const RelayEndpointPtr& aEndpoint) const
+RelayRun::HasPermitFor(const RelayEndpointPtr& aEndpoint) const
 {
   return mPlace && mPlace->mEndpoint == aEndpoint;
 }
 
 void
-RelayRun::ReturnPlace()
+RelayRun::ReturnPermit()
 {
   if (mPlace) {
     mCore->mRates.Return(*mPlace);
@@ -41,7 +41,7 @@
 }
 
 bool
-RelayRun::IsUnavailable(const RelayAsk& aAsk, state::TimePoint aUntil)
+RelayRun::IsUnavailable(const EndpointQuery& aAsk, state::TimePoint aUntil)
 {
   const auto outage = OutageOf(*mCore, aAsk);
   if (!outage || (outage->mUntil < aUntil && Now() < aUntil)) {
@@ -55,14 +55,15 @@
         mService, outage->mPerSecond, mCore->Relays());
       break;
     case state::Obstacle::kCooldown: {
-      const auto left = std::chrono::ceil<Millis>(outage->mReturnAt - Now());
+      const auto left = std::chrono::ceil<Millis>(outage->mReopensAt - Now());
       mLastProblem = "endpoints-cooldown";
-      mRetryAfter = left + state::SpreadPause(kReturnSpread, mCore->mRandom);
+      mRetryAfter =
+        left + state::JitteredPause(kRetryAfterSpread, mCore->mRandom);
       break;
     }
     case state::Obstacle::kDraining:
       mLastProblem = "endpoints-draining";
-      mRetryAfter = state::SpreadPause(kRetryAfterOutage, mCore->mRandom);
+      mRetryAfter = state::JitteredPause(kRetryAfterOutage, mCore->mRandom);
       break;
     default:
       // Each endpoint that is open has had this request.
--- a/packages/coordination/src/relay_rates.cpp
+++ b/packages/coordination/src/relay_rates.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-RelayRates::RelayRates(const RelayParts& aParts,
+RelayRates::RelayRates(const RelayDependencies& aParts,
                        const state::ShareDirectory& aKeepers)
   : mParts(aParts)
   , mKeepers(aKeepers)
@@ -29,7 +29,7 @@
 void
 RelayRates::Note(RelayEndpoint& aEndpoint,
                  const EndpointRate& aRate,
-                 const HeldPlace* aPlace)
+                 const HeldPermit* aPlace)
 {
   if (aRate.mNotice == RateNotice::kUnreadable) {
     mParts.mMetrics.Count("shuntjunction_relay_unreadable_rates_total");
@@ -47,13 +47,13 @@
   }
   const auto keeper = KeeperOf(aEndpoint);
   if (keeper && mParts.mReportRate) {
-    const auto edition = aPlace != nullptr ? aPlace->mEdition : 0;
+    const auto edition = aPlace != nullptr ? aPlace->mRateVersion : 0;
     mParts.mReportRate(keeper->mHost, { keeper->mName, aRate, edition });
   }
 }
 
 void
-RelayRates::TakeNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews)
+RelayRates::ApplyNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews)
 {
   Set(aEndpoint, aNews.mPerSecond);
 }
@@ -84,14 +84,14 @@
   }
 }
 
-Task<std::optional<HeldPlace>>
+Task<std::optional<HeldPermit>>
 RelayRates::Ask(RelayEndpointPtr aEndpoint, bool aIsUrgent)
 {
   const auto keeper = KeeperOf(*aEndpoint);
   aEndpoint->mRate->mHeardAt = mParts.mClock.Now();
   std::optional<state::PlaceGrant> grant;
-  if (keeper && mParts.mAskPlace) {
-    grant = co_await mParts.mAskPlace(
+  if (keeper && mParts.mRequestPermit) {
+    grant = co_await mParts.mRequestPermit(
       keeper->mHost,
       { keeper->mName, aEndpoint->mRate->mPerSecond, aIsUrgent });
   }
@@ -100,30 +100,30 @@
     "shuntjunction_relay_places_total",
     { { "outcome", !grant ? "silent" : (isGiven ? "given" : "none") } });
   if (isGiven) {
-    co_return HeldPlace{
-      std::move(aEndpoint), keeper->mHost, keeper->mName, grant->mEdition
+    co_return HeldPermit{
+      std::move(aEndpoint), keeper->mHost, keeper->mName, grant->mRateVersion
     };
   }
   // It may have ended while its keeper was asked.
   if (aEndpoint->mRate) {
     auto& rate = *aEndpoint->mRate;
-    ++rate.mWithoutPlace;
+    ++rate.mWithoutPermit;
     const auto pause =
       grant ? std::max(grant->mRefill, kLeastPause) : kSilentPause;
     const auto until = mParts.mClock.Now() + pause;
-    rate.mPlaceAt = std::max(rate.mPlaceAt, until);
+    rate.mPermitAt = std::max(rate.mPermitAt, until);
     if (aIsUrgent) {
-      rate.mUrgentPlaceAt = std::max(rate.mUrgentPlaceAt, until);
+      rate.mUrgentPermitAt = std::max(rate.mUrgentPermitAt, until);
     }
   }
   co_return std::nullopt;
 }
 
 void
-RelayRates::Return(const HeldPlace& aPlace)
+RelayRates::Return(const HeldPermit& aPlace)
 {
-  if (mParts.mReturnPlace) {
-    mParts.mReturnPlace(aPlace.mKeeper, aPlace.mName.mHash);
+  if (mParts.mReturnPermit) {
+    mParts.mReturnPermit(aPlace.mKeeper, aPlace.mName.mHash);
   }
 }
 
@@ -134,10 +134,10 @@
 {
   mParts.mMetrics.Count("shuntjunction_relay_limited_refusals_total",
                         { { "service", aService } });
-  constexpr double kLeastRate = 0.1;
-  return mReturns[aService].Next(std::max(aPerSecond, kLeastRate),
-                                 std::max(aRelays, 1.0),
-                                 mParts.mClock.Now());
+  constexpr double kMinRate = 0.1;
+  return mReturnSchedules[aService].Next(std::max(aPerSecond, kMinRate),
+                                         std::max(aRelays, 1.0),
+                                         mParts.mClock.Now());
 }
 
 void
@@ -146,7 +146,7 @@
   auto& rate = *aEndpoint.mRate;
   const auto keeper = KeeperOf(aEndpoint);
   mParts.mLog.Write(
-    EventLine(kRelayPart, "endpoint-limit")
+    EventLine(kRelayComponent, "endpoint-limit")
       .Add("what", aWhat)
       .Add("endpoint", aEndpoint.mInfo.mId)
       .Add("service", aEndpoint.mInfo.mService)
@@ -154,7 +154,7 @@
       .Add("keeper", keeper ? keeper->mHost : std::string())
       .Add("per_second", rate.mPerSecond)
       .Add("sent", std::exchange(rate.mSent, 0))
-      .Add("without_place", std::exchange(rate.mWithoutPlace, 0)));
+      .Add("without_place", std::exchange(rate.mWithoutPermit, 0)));
 }
 
 std::optional<RelayRates::Keeper>
@@ -164,13 +164,13 @@
   if (!address) {
     return std::nullopt;
   }
-  const auto hash =
-    state::HashOfLife(aEndpoint.mInfo.mId, aEndpoint.mLife.Current());
-  const auto keeper = mKeepers.KeeperOfEndpoint(address->mHost, hash);
+  const auto hash = state::HashOfIncarnation(
+    aEndpoint.mInfo.mId, aEndpoint.mEndpointIncarnation.Current());
+  const auto keeper = mKeepers.OwnerOfEndpoint(address->mHost, hash);
   if (!keeper) {
     return std::nullopt;
   }
-  return Keeper{ keeper->mHost, { hash, keeper->mIsBeside } };
+  return Keeper{ keeper->mHost, { hash, keeper->mIsOnSameHost } };
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_rates.h
+++ b/packages/coordination/src/relay_rates.h
@@ -8,17 +8,17 @@
 #include "relay_endpoint.h"
 #include "shuntjunction/coordination/relay.h"
 #include "shuntjunction/state/limit_shares.h"
-#include "shuntjunction/state/return_schedule.h"
+#include "shuntjunction/state/retry_schedule.h"
 
 namespace shuntjunction::coordination {
 
 /// Leave to send one request to an endpoint that names a rate.
-struct HeldPlace
+struct HeldPermit
 {
   RelayEndpointPtr mEndpoint;
   std::string mKeeper; ///< host of the companion that gave it
   state::LimitedEndpoint mName;
-  std::uint32_t mEdition = 0; ///< see state::RateReport
+  std::uint32_t mRateVersion = 0; ///< see state::RateReport
 };
 
 /// What one relay knows of endpoints' rates, and its way to their keepers.
@@ -28,25 +28,26 @@
 {
 public:
   /// @param aParts, aKeepers  outlive this
-  RelayRates(const RelayParts& aParts, const state::ShareDirectory& aKeepers);
+  RelayRates(const RelayDependencies& aParts,
+             const state::ShareDirectory& aKeepers);
 
   /// Takes what an endpoint's answer says, and reports it to the rate's keeper.
   ///
   /// @param aPlace  with which the request was sent; null: with none
   void Note(RelayEndpoint& aEndpoint,
             const state::EndpointRate& aRate,
-            const HeldPlace* aPlace);
+            const HeldPermit* aPlace);
 
   /// Takes what a keeper tells of an endpoint's rate.
-  void TakeNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews);
+  void ApplyNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews);
 
   /// Asks for a place at an endpoint that names a rate; empty: there is none
   /// now, or nobody who could give one.
-  transport::Task<std::optional<HeldPlace>> Ask(RelayEndpointPtr aEndpoint,
-                                                bool aIsUrgent);
+  transport::Task<std::optional<HeldPermit>> Ask(RelayEndpointPtr aEndpoint,
+                                                 bool aIsUrgent);
 
   /// Gives back a place whose request was not sent.
-  void Return(const HeldPlace& aPlace);
+  void Return(const HeldPermit& aPlace);
 
   /// When a caller may come back that found no place at any endpoint.
   ///
@@ -69,9 +70,9 @@
   std::optional<Keeper> KeeperOf(const RelayEndpoint& aEndpoint) const;
   void Set(RelayEndpoint& aEndpoint, std::optional<double> aPerSecond);
 
-  const RelayParts& mParts;
+  const RelayDependencies& mParts;
   const state::ShareDirectory& mKeepers;
-  std::map<std::string, state::ReturnSchedule> mReturns; ///< by service
+  std::map<std::string, state::RetrySchedule> mReturnSchedules; ///< by service
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_reply.cpp
+++ b/packages/coordination/src/relay_reply.cpp
@@ -37,15 +37,15 @@
     reason = kQuarantinedReason;
     mRetryAfter = quarantine;
   }
-  if (mIsHeadPassed) {
-    CutCaller();
+  if (mIsHeadForwarded) {
+    CloseCallerConnection();
     LogOutcome("cut", reason);
     co_return;
   }
-  if (!mFailure.empty()) {
+  if (!mSavedFailure.empty()) {
     // No other endpoint did better: the answer is the endpoint's own.
-    mFirstStatus = mFailureStatus;
-    co_await WriteToCaller(std::exchange(mFailure, {}));
+    mAnswerStatus = mSavedFailureStatus;
+    co_await WriteToCaller(std::exchange(mSavedFailure, {}));
     LogOutcome("answered", mLastProblem);
     co_return;
   }
@@ -85,7 +85,7 @@
   if (mRequest->mMethod != "HEAD") {
     text += body;
   }
-  mFirstStatus = aStatus;
+  mAnswerStatus = aStatus;
   co_await WriteToCaller(std::move(text));
   LogOutcome("refused", aReason);
 }
@@ -99,7 +99,7 @@
 }
 
 void
-RelayRun::CutCaller()
+RelayRun::CloseCallerConnection()
 {
   mIsKept = false;
   mCaller.Close(true);
--- a/packages/coordination/src/relay_run.cpp
+++ b/packages/coordination/src/relay_run.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "shuntjunction/state/prefix_chain.h"
-#include "shuntjunction/state/spread_pause.h"
+#include "shuntjunction/state/jittered_pause.h"
 
 namespace shuntjunction::coordination {
 
@@ -39,7 +39,7 @@
 
 /// Endpoints that may crash under one try of a caller. The third would be the
 /// last that its request may ever crash: that trial is its caller's to make.
-constexpr int kMostCrashesOfRun = 2;
+constexpr int kMaxCrashesPerRun = 2;
 
 } // namespace
 
@@ -66,8 +66,8 @@
   } else if (!FindRoute()) {
     co_await Refuse(kNoRoute, "no-route");
   } else if (mCore->mGuard.MustRefuse(mRoute->mUrgency)) {
-    co_await Refuse(kUnavailable, "relay-overloaded", SpreadReturn());
-  } else if (IsStale()) {
+    co_await Refuse(kUnavailable, "relay-overloaded", SpreadRetryAfter());
+  } else if (AreKeysStale()) {
     co_await Refuse(kUnavailable, "stale-keys", kRetryElsewhere);
   } else if (!FindTeam()) {
     co_await Refuse(kUnauthorized, "unknown-key");
@@ -78,14 +78,14 @@
   } else if (mCore->mIsRefusing) {
     co_await Refuse(kUnavailable, "stopping", Millis(0));
   } else {
-    mService = DrawService();
+    mService = SelectService();
     ArmDeadline();
     mCaller.OnClosed([this] { Interrupt(RunInterrupt::kCallerGone); });
     const auto running = mCore->mCrashes.Begin(
       mDigest, [this] { Interrupt(RunInterrupt::kQuarantined); });
     co_await Serve();
-    ReturnUsage();
-    ReturnPlace();
+    ReleaseUsage();
+    ReturnPermit();
     mCore->mCrashes.End(running);
     mCaller.OnClosed(nullptr);
     mDeadlineTimer->cancel();
@@ -100,15 +100,15 @@
 {
   const auto until = mArrival + mCore->mLimits.mConfigWait;
   while (mView->mConfig->Version() == 0 && Now() < until) {
-    co_await transport::Sleep(kWaitStep);
+    co_await transport::Sleep(kPollInterval);
     mView = mCore->mView;
   }
 }
 
 Millis
-RelayRun::SpreadReturn()
+RelayRun::SpreadRetryAfter()
 {
-  return state::SpreadPause(kRetryOverload, mCore->mRandom);
+  return state::JitteredPause(kRetryOverload, mCore->mRandom);
 }
 
 bool
@@ -133,7 +133,7 @@
 }
 
 bool
-RelayRun::IsStale() const
+RelayRun::AreKeysStale() const
 {
   const bool needsKey =
     mView->mConfig->Rules().mHasTeams && !mRoute->mIsAnonymous;
@@ -141,7 +141,7 @@
 }
 
 std::string
-RelayRun::DrawService()
+RelayRun::SelectService()
 {
   double sum = 0.0;
   for (const auto& target : mRoute->mTargets) {
@@ -201,8 +201,8 @@
     return;
   }
   mInterrupt = aReason;
-  if (mOpenAttempt) {
-    mOpenAttempt->Close(true);
+  if (mOpenConnection) {
+    mOpenConnection->Close(true);
   }
 }
 
@@ -219,19 +219,19 @@
 {
   mCore->BudgetOf(mService).NoteFirst(Now());
   while (mInterrupt == RunInterrupt::kNone) {
-    if (!co_await HoldUsage()) {
+    if (!co_await ReserveUsage()) {
       break;
     }
     auto pick = co_await Pick();
     if (!pick) {
       break;
     }
-    if (IsInVain(*pick)) {
-      NoteOverload(*pick);
+    if (ShouldShed(*pick)) {
+      SetOverloadRefusal(*pick);
       break;
     }
     co_await WaitForPart(*pick);
-    const bool mayBeSent = co_await HoldPlace(*pick);
+    const bool mayBeSent = co_await AcquirePermit(*pick);
     if (mInterrupt != RunInterrupt::kNone) {
       break;
     }
@@ -239,16 +239,16 @@
       continue;
     }
     const auto outcome = co_await Try(*pick);
-    ReturnPlace();
-    NoteUsage(outcome);
+    ReturnPermit();
+    CommitUsage(outcome);
     NoteOutcome(*pick, outcome);
     if (outcome == AttemptOutcome::kBroken) {
-      co_await NoteBrokenOff(*pick);
+      co_await CheckForCrash(*pick);
     }
     if (outcome == AttemptOutcome::kDone) {
       co_return;
     }
-    if (!MayTryAgain(outcome)) {
+    if (!MayRetry(outcome)) {
       break;
     }
   }
@@ -262,26 +262,26 @@
                           : mRoute->mUrgency;
 }
 
-RelayAsk
-RelayRun::AskNow() const
+EndpointQuery
+RelayRun::MakeEndpointQuery() const
 {
-  RelayAsk ask{ mService,
-                &mCall,
-                mTeam != nullptr && mTeam->mIsIsolated
-                  ? std::string_view(mTeam->mName)
-                  : std::string_view(),
-                &mTried,
-                Urgency(),
-                SinceArrival(),
-                mRoute->mObjective,
-                {} };
+  EndpointQuery ask{ mService,
+                     &mCall,
+                     mTeam != nullptr && mTeam->mIsIsolated
+                       ? std::string_view(mTeam->mName)
+                       : std::string_view(),
+                     &mTriedEndpoints,
+                     Urgency(),
+                     SinceArrival(),
+                     mRoute->mObjective,
+                     {} };
   if (mCore->mCrashes.Crashes(mDigest) > 0) {
-    ask.mApartBy = state::PlacementHash(mDigest.Text());
+    ask.mCrashSuspectHash = state::PlacementHash(mDigest.Text());
   }
   return ask;
 }
 
-Task<std::optional<RelayPick>>
+Task<std::optional<EndpointChoice>>
 RelayRun::Pick()
 {
   const auto objective = static_cast<double>(mRoute->mObjective.count());
@@ -289,7 +289,7 @@
     mArrival +
     Millis(static_cast<std::int64_t>(objective * mCore->mLimits.mWaitShare));
   while (mInterrupt == RunInterrupt::kNone) {
-    const auto ask = AskNow();
+    const auto ask = MakeEndpointQuery();
     if (auto pick = ChooseEndpoint(*mCore, ask)) {
       co_return pick;
     }
@@ -302,42 +302,42 @@
         IsServiceDown(*mCore, mService) ? kRetryAfterOutage : kRetrySoon;
       break;
     }
-    co_await transport::Sleep(kWaitStep);
+    co_await transport::Sleep(kPollInterval);
   }
   co_return std::nullopt;
 }
 
 bool
-RelayRun::IsBetterElsewhere(const RelayPick& aPick)
+RelayRun::ShouldMoveElsewhere(const EndpointChoice& aPick)
 {
   const auto& endpoints = mCore->mEndpoints;
   if (!endpoints.HasStopped(*aPick.mEndpoint, Now()) ||
-      !MayTryAgain(AttemptOutcome::kSilent) ||
+      !MayRetry(AttemptOutcome::kSilent) ||
       !mCore->BudgetOf(mService).MayRepeat(Now())) {
     return false;
   }
-  const auto other = ChooseEndpoint(*mCore, AskNow());
+  const auto other = ChooseEndpoint(*mCore, MakeEndpointQuery());
   return other && !endpoints.IsSilent(*other->mEndpoint, Now());
 }
 
 bool
-RelayRun::IsInVain(const RelayPick& aPick) const
+RelayRun::ShouldShed(const EndpointChoice& aPick) const
 {
-  return aPick.mIsBehind && mTried.empty() &&
-         aPick.mEndpoint->mLate.IsStuck(Now(), mRoute->mObjective);
+  return aPick.mIsDeprioritized && mTriedEndpoints.empty() &&
+         aPick.mEndpoint->mLate.IsStalled(Now(), mRoute->mObjective);
 }
 
 void
-RelayRun::NoteOverload(const RelayPick& aPick)
+RelayRun::SetOverloadRefusal(const EndpointChoice& aPick)
 {
   std::uniform_real_distribution<double> draw(0.0, 1.0);
   mLastProblem = "overloaded";
   mRetryAfter =
-    aPick.mEndpoint->mLate.ReturnAfter(aPick.mExpected, draw(mCore->mRandom));
+    aPick.mEndpoint->mLate.RetryDelay(aPick.mExpected, draw(mCore->mRandom));
 }
 
 Task<void>
-RelayRun::WaitForPart(const RelayPick& aPick)
+RelayRun::WaitForPart(const EndpointChoice& aPick)
 {
   if (aPick.mPart.empty()) {
     co_return;
@@ -346,17 +346,17 @@
   const auto until = Now() + limits.mPartWait;
   while (mInterrupt == RunInterrupt::kNone && Now() < until) {
     const auto& record = mCore->mLedger.At(aPick.mPartName);
-    const bool isRead =
-      Now() - record.mReadingFrom < limits.mPartWait && record.IsBeingRead();
+    const bool isRead = Now() - record.mPrefillStartedAt < limits.mPartWait &&
+                        record.IsPrefilling();
     if (!isRead) {
       co_return;
     }
-    co_await transport::Sleep(kWaitStep);
+    co_await transport::Sleep(kPollInterval);
   }
 }
 
 bool
-RelayRun::MayTryAgain(AttemptOutcome aOutcome)
+RelayRun::MayRetry(AttemptOutcome aOutcome)
 {
   if (mInterrupt != RunInterrupt::kNone ||
       aOutcome == AttemptOutcome::kWithheld) {
@@ -365,7 +365,7 @@
   // A stream of which something was passed on may go on elsewhere.
   const bool isResumable = mRoute->mKind == RouteKind::kStream &&
                            mRoute->mIsResumable && !mLastEventId.empty();
-  if (mIsHeadPassed && !isResumable) {
+  if (mIsHeadForwarded && !isResumable) {
     return false;
   }
   const bool mayHaveRun =
@@ -373,47 +373,47 @@
   if (mayHaveRun && !mRoute->IsRepeatable()) {
     return false;
   }
-  if (mCrashes >= kMostCrashesOfRun) {
+  if (mCrashes >= kMaxCrashesPerRun) {
     return false;
   }
   return mUnsentTries < kMaxUnsentTries &&
-         static_cast<int>(mTried.size()) < mRoute->mMaxAttempts;
+         static_cast<int>(mTriedEndpoints.size()) < mRoute->mMaxAttempts;
 }
 
 Task<void>
-RelayRun::NoteBrokenOff(const RelayPick& aPick)
+RelayRun::CheckForCrash(const EndpointChoice& aPick)
 {
   const auto endpoint = aPick.mEndpoint;
   if (co_await HasCrashed(mCore, endpoint)) {
     ++mCrashes;
     mCore->mCrashes.Note(mDigest, *endpoint);
   } else {
-    auto& brokenOff = endpoint->mBrokenOff;
+    auto& brokenOff = endpoint->mBrokenRequests;
     brokenOff.push_back({ mDigest, Now() });
-    if (brokenOff.size() > mCore->mLimits.mMaxBrokenOff) {
+    if (brokenOff.size() > mCore->mLimits.mMaxBrokenRequests) {
       brokenOff.erase(brokenOff.begin());
     }
   }
 }
 
 void
-RelayRun::NoteEndedWell(unsigned aStatus)
+RelayRun::NoteCompleted(unsigned aStatus)
 {
   // A failure may be told by an endpoint that never began to run it.
   if (aStatus < kFirstServerError) {
-    mCore->mCrashes.NoteEndedWell(mDigest);
+    mCore->mCrashes.NoteCompleted(mDigest);
   }
 }
 
 void
-RelayRun::NoteOutcome(const RelayPick& aPick, AttemptOutcome aOutcome)
+RelayRun::NoteOutcome(const EndpointChoice& aPick, AttemptOutcome aOutcome)
 {
   auto& endpoint = *aPick.mEndpoint;
   auto& endpoints = mCore->mEndpoints;
   switch (aOutcome) {
     case AttemptOutcome::kDone:
       endpoints.NoteSuccess(endpoint);
-      NoteEndedWell(mFirstStatus);
+      NoteCompleted(mAnswerStatus);
       break;
     case AttemptOutcome::kUnsent:
     case AttemptOutcome::kBroken:
--- a/packages/coordination/src/relay_run.h
+++ b/packages/coordination/src/relay_run.h
@@ -2,7 +2,7 @@
 
 // Private to coordination: one request's way through a relay.
 
-#include "relay_choice_view.h"
+#include "relay_endpoint_choice.h"
 #include "relay_core.h"
 #include "shuntjunction/state/request_digest.h"
 
@@ -19,7 +19,7 @@
 inline constexpr state::Millis kRetryAfterOutage{ 1500 };
 
 /// How often a request that waits looks again.
-inline constexpr state::Millis kWaitStep{ 15 };
+inline constexpr state::Millis kPollInterval{ 15 };
 
 /// Why a run was interrupted.
 enum class RunInterrupt : std::uint8_t
@@ -64,14 +64,14 @@
 };
 
 /// What a relay holds of a share of a team's limit.
-struct HeldUsage
+struct ReservedUsage
 {
   state::ShareSource mSource;
   std::uint32_t mAmount = 0;
 };
 
 /// What a team's companions said to the question for its limit.
-struct UsageAnswer
+struct UsageReservation
 {
   int mAsked = 0;  ///< shares whose companions answered, or were known empty
   int mSilent = 0; ///< shares whose companions could not be asked
@@ -85,7 +85,7 @@
   std::optional<state::Millis> mSent;  ///< empty: nothing was sent
   std::optional<state::Millis> mFirst; ///< the answer's first bytes
   state::Millis mLongestPause{ 0 };    ///< between pieces of the answer
-  state::Millis mLastPiece{ 0 };
+  state::Millis mLastChunk{ 0 };
 };
 
 /// Serves one request: finds its route and team, chooses endpoints, passes the
@@ -110,56 +110,56 @@
   // Admission.
   transport::Task<void> AwaitConfig();
   /// When a caller that this relay has no time for may come back.
-  state::Millis SpreadReturn();
+  state::Millis SpreadRetryAfter();
   bool FindRoute();
   bool FindTeam();
-  std::string DrawService();
+  std::string SelectService();
   state::RequestDigest DigestOfRequest() const;
   /// Whether endpoints crash under the request; notes its digest.
   bool IsQuarantined();
-  bool IsStale() const;
+  bool AreKeysStale() const;
 
   // The team's limit.
   /// Takes from it what the request will use; whether it may be sent.
-  transport::Task<bool> HoldUsage();
+  transport::Task<bool> ReserveUsage();
   /// Asks the team's companions, one after the other, until enough is held.
-  transport::Task<UsageAnswer> AskForUsage(std::uint32_t aAmount);
+  transport::Task<UsageReservation> RequestUsage(std::uint32_t aAmount);
   /// What the request counts in the unit of its team's limit.
-  std::uint32_t UsageOfRequest() const;
+  std::uint32_t RequestCost() const;
   /// Gives back what is held and was not used.
-  void ReturnUsage();
+  void ReleaseUsage();
   /// Takes that an endpoint may have run the request: what is held is used.
-  void NoteUsage(AttemptOutcome aOutcome);
-  void LogLimit(const UsageAnswer& aAnswer, std::uint32_t aAmount);
+  void CommitUsage(AttemptOutcome aOutcome);
+  void LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount);
 
   // The endpoint's own limit.
   /// Whether its endpoint may get the request now, as far as its rate goes.
-  transport::Task<bool> HoldPlace(const RelayPick& aPick);
+  transport::Task<bool> AcquirePermit(const EndpointChoice& aPick);
   /// Whether the place that is held is one at an endpoint.
-  bool HasPlaceAt(const RelayEndpointPtr& aEndpoint) const;
+  bool HasPermitFor(const RelayEndpointPtr& aEndpoint) const;
   /// Gives a place back whose request was not sent.
-  void ReturnPlace();
+  void ReturnPermit();
   /// Whether no endpoint of the service takes the request until a time; sets
   /// the reason and the Retry-After of its refusal.
-  bool IsUnavailable(const RelayAsk& aAsk, state::TimePoint aUntil);
+  bool IsUnavailable(const EndpointQuery& aAsk, state::TimePoint aUntil);
 
   // Attempts.
   transport::Task<void> Serve();
   /// Of the team, or of the route; the lowest is the most urgent.
   int Urgency() const;
-  transport::Task<std::optional<RelayPick>> Pick();
+  transport::Task<std::optional<EndpointChoice>> Pick();
   /// What the choice of an endpoint needs to know now.
-  RelayAsk AskNow() const;
+  EndpointQuery MakeEndpointQuery() const;
   /// Whether the endpoint's machine has stopped, as far as is known, while
   /// another endpoint could take the request.
-  bool IsBetterElsewhere(const RelayPick& aPick);
-  transport::Task<void> WaitForPart(const RelayPick& aPick);
+  bool ShouldMoveElsewhere(const EndpointChoice& aPick);
+  transport::Task<void> WaitForPart(const EndpointChoice& aPick);
   /// Whether a request that nobody got yet would wait in vain at its endpoint.
-  bool IsInVain(const RelayPick& aPick) const;
+  bool ShouldShed(const EndpointChoice& aPick) const;
   /// Notes what its caller is told then.
-  void NoteOverload(const RelayPick& aPick);
-  transport::Task<AttemptOutcome> Try(RelayPick aPick);
-  transport::Task<AttemptOutcome> TryThere(RelayPick aPick);
+  void SetOverloadRefusal(const EndpointChoice& aPick);
+  transport::Task<AttemptOutcome> Try(EndpointChoice aPick);
+  transport::Task<AttemptOutcome> RunAttempt(EndpointChoice aPick);
   transport::Task<AttemptOutcome> Connect(Attempt& aAttempt);
   /// Asks at the last moment whether the endpoint may get the request.
   tl::expected<state::SendClearance, AttemptOutcome> ClearToSend(
@@ -172,23 +172,23 @@
   void Send(Attempt& aAttempt, state::SendClearance aClearance);
   /// Takes that the endpoint answered, or that no answer is waited for.
   void SettleClearance(Attempt& aAttempt, bool aIsAccepted);
-  HandOver HandOverOf(const RelayPick& aPick) const;
-  void NotePartIsRead(const RelayPick& aPick);
+  ForwardingInfo MakeForwardingInfo(const EndpointChoice& aPick) const;
+  void NotePartPrefill(const EndpointChoice& aPick);
   /// Counts the tokens that an endpoint has to read, and no more.
-  void NoteWaiting(const RelayPick& aPick);
-  void NoteRead(const RelayPick& aPick);
+  void AddWaiting(const EndpointChoice& aPick);
+  void RemoveWaiting(const EndpointChoice& aPick);
   /// @param aPart  of which news are wanted; empty: of none
-  void TellWaiting(const RelayEndpoint& aEndpoint, const std::string& aPart);
+  void ReportWaiting(const RelayEndpoint& aEndpoint, const std::string& aPart);
   /// Tells the other relays that a part is being read, or was.
-  void TellPart(const RelayPick& aPick, bool aIsDone);
-  void NoteOutcome(const RelayPick& aPick, AttemptOutcome aOutcome);
+  void AnnouncePartReading(const EndpointChoice& aPick, bool aIsDone);
+  void NoteOutcome(const EndpointChoice& aPick, AttemptOutcome aOutcome);
   /// Finds out whether an endpoint crashed under the request.
-  transport::Task<void> NoteBrokenOff(const RelayPick& aPick);
+  transport::Task<void> CheckForCrash(const EndpointChoice& aPick);
   /// Takes that an endpoint ran the request and is well.
-  void NoteEndedWell(unsigned aStatus);
-  void LogSent(const RelayPick& aPick);
-  void LogAttempt(const RelayPick& aPick, AttemptOutcome aOutcome);
-  bool MayTryAgain(AttemptOutcome aOutcome);
+  void NoteCompleted(unsigned aStatus);
+  void LogSent(const EndpointChoice& aPick);
+  void LogAttempt(const EndpointChoice& aPick, AttemptOutcome aOutcome);
+  bool MayRetry(AttemptOutcome aOutcome);
   void Finish(Attempt& aAttempt);
 
   // An endpoint's answer.
@@ -196,25 +196,25 @@
   /// Parses what has arrived; empty when more must arrive first.
   std::optional<transport::ReadStep> ReadBuffered(Attempt& aAttempt);
   /// Judges a head when it is whole; an outcome if the answer is not passed on.
-  std::optional<AttemptOutcome> JudgeOnce(Attempt& aAttempt,
-                                          transport::ReadStep aStep);
+  std::optional<AttemptOutcome> EvaluateHeadOnce(Attempt& aAttempt,
+                                                 transport::ReadStep aStep);
   /// Takes what an answer advertises, whatever becomes of the answer.
-  void TakeNotice(Attempt& aAttempt);
+  void ApplyNotice(Attempt& aAttempt);
   /// The same of an answer that came while the run was interrupted.
-  void TakeNoticeOfUnread(Attempt& aAttempt);
-  void SkipOther(Attempt& aAttempt, bool aIsDone);
-  std::optional<AttemptOutcome> JudgeHead(Attempt& aAttempt);
-  transport::Task<bool> PassBody(Attempt& aAttempt, bool aIsDone);
-  transport::Task<bool> PassHeldAnswer(Attempt& aAttempt);
+  void ApplyUnreadNotice(Attempt& aAttempt);
+  void SkipForeignAnswer(Attempt& aAttempt, bool aIsDone);
+  std::optional<AttemptOutcome> EvaluateHead(Attempt& aAttempt);
+  transport::Task<bool> ForwardBody(Attempt& aAttempt, bool aIsDone);
+  transport::Task<bool> ForwardBufferedAnswer(Attempt& aAttempt);
   /// Whether an endpoint's failure, read whole, is worth a try at another.
-  bool MayFailElsewhere(const Attempt& aAttempt) const;
+  bool ShouldRetryFailure(const Attempt& aAttempt) const;
   /// Keeps an endpoint's failure for its caller, if no other does better.
-  void KeepFailure(const Attempt& aAttempt);
-  std::string HeldAnswerText(const Attempt& aAttempt) const;
-  transport::Task<bool> PassStreamPiece(Attempt& aAttempt, bool aIsDone);
-  std::string TakeWholeEvents(std::string aBytes, bool aIsDone);
-  void NoteAnswerBegun(const Attempt& aAttempt);
-  void NotePiece();
+  void SaveFailure(const Attempt& aAttempt);
+  std::string BufferedAnswerText(const Attempt& aAttempt) const;
+  transport::Task<bool> ForwardStreamChunk(Attempt& aAttempt, bool aIsDone);
+  std::string ExtractCompleteEvents(std::string aBytes, bool aIsDone);
+  void HandleAnswerBegun(const Attempt& aAttempt);
+  void NoteChunkTime();
 
   // Answers of the relay's own.
   transport::Task<void> AnswerFailure();
@@ -225,7 +225,7 @@
   std::string HeadText(const transport::RelayAnswer& aAnswer,
                        std::optional<std::size_t> aLength) const;
   void AppendConnectionField(std::string& aHeader) const;
-  void CutCaller();
+  void CloseCallerConnection();
 
   void Interrupt(RunInterrupt aReason);
   void ArmDeadline();
@@ -240,30 +240,30 @@
   state::TimePoint mDeadline;
   std::shared_ptr<transport::Timer> mDeadlineTimer;
   std::shared_ptr<const RelayView> mView;
-  CallFacts mCall;
+  CallInfo mCall;
   const state::RouteRule* mRoute = nullptr;
   const state::TeamRule* mTeam = nullptr;
   std::string mService;
   state::RequestDigest mDigest; ///< of what its caller sent
   RunInterrupt mInterrupt = RunInterrupt::kNone;
-  std::shared_ptr<transport::SocketReader> mOpenAttempt; ///< to be cut off
-  std::vector<std::string> mTried; ///< endpoints that got the request
-  AttemptTimes mTimes;             ///< of the last attempt
-  int mUnsentTries = 0;            ///< endpoints that could not be reached
-  int mCrashes = 0;                ///< endpoints that crashed under this run
+  std::shared_ptr<transport::SocketReader> mOpenConnection; ///< to be cut off
+  std::vector<std::string> mTriedEndpoints; ///< endpoints that got the request
+  AttemptTimes mTimes;                      ///< of the last attempt
+  int mUnsentTries = 0; ///< endpoints that could not be reached
+  int mCrashes = 0;     ///< endpoints that crashed under this run
   bool mMayHaveRun = false;
-  bool mIsHeadPassed = false;
+  bool mIsHeadForwarded = false;
   bool mIsKept = true;
-  std::string mFailure; ///< an endpoint's own, as its caller would get it
-  unsigned mFailureStatus = 0;
+  std::string mSavedFailure; ///< an endpoint's own, as its caller would get it
+  unsigned mSavedFailureStatus = 0;
   std::string mPartialEvent; ///< bytes of an event that is not yet whole
   std::string mLastEventId;  ///< of the last event passed on
-  unsigned mFirstStatus = 0;
+  unsigned mAnswerStatus = 0;
   std::string mLastProblem;
-  state::Millis mRetryAfter = kRetrySoon; ///< if it is refused unserved
-  std::vector<HeldUsage> mHeldUsage;      ///< of the team's limit
-  std::optional<HeldPlace> mPlace; ///< at the endpoint, if it names a rate
-  bool mIsOverLimit = false;       ///< the team has used its limit up
+  state::Millis mRetryAfter = kRetrySoon;    ///< if it is refused unserved
+  std::vector<ReservedUsage> mReservedUsage; ///< of the team's limit
+  std::optional<HeldPermit> mPlace; ///< at the endpoint, if it names a rate
+  bool mIsOverLimit = false;        ///< the team has used its limit up
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_run_log.cpp
+++ b/packages/coordination/src/relay_run_log.cpp
@@ -6,14 +6,15 @@
 namespace shuntjunction::coordination {
 
 void
-RelayRun::LogSent(const RelayPick& aPick)
+RelayRun::LogSent(const EndpointChoice& aPick)
 {
   // An attempt's own line is written at its end: only this one tells what a
   // process that was killed had sent where.
-  EventLine line(kRelayPart, "sent", mCall.mRequestId);
+  EventLine line(kRelayComponent, "sent", mCall.mRequestId);
   line.Add("content", mDigest.Text())
     .Add("endpoint", aPick.mEndpoint->mInfo.mId)
-    .Add("started_at", aPick.mEndpoint->mLife.Current().StartedAt())
+    .Add("started_at",
+         aPick.mEndpoint->mEndpointIncarnation.Current().StartedAt())
     .Add("running", aPick.mEndpoint->mRunning)
     .Add("candidates", aPick.mCandidates)
     .Add("listed", aPick.mEndpoint->mInfo.mRevision)
@@ -29,10 +30,10 @@
 }
 
 void
-RelayRun::LogAttempt(const RelayPick& aPick, AttemptOutcome aOutcome)
+RelayRun::LogAttempt(const EndpointChoice& aPick, AttemptOutcome aOutcome)
 {
   const auto& endpoint = *aPick.mEndpoint;
-  EventLine line(kRelayPart, "attempt", mCall.mRequestId);
+  EventLine line(kRelayComponent, "attempt", mCall.mRequestId);
   line.Add("endpoint", endpoint.mInfo.mId)
     .Add("zone", endpoint.mInfo.mZone)
     .Add("outcome", kAttemptOutcomeNames.Name(aOutcome))
@@ -49,7 +50,7 @@
     line.Add("weights", aPick.mWeights)
       .Add("shared_part", aPick.mPart)
       .Add("kept", aPick.mIsKept)
-      .Add("to_read", aPick.mTokensToRead)
+      .Add("to_read", aPick.mPrefillTokens)
       .Add("source", aPick.mPartSource)
       .Add("saves", !aPick.mPartStore.empty());
   }
@@ -68,15 +69,15 @@
 {
   auto& parts = mCore->mParts;
   const auto age = parts.mConfigConfirmed.Age(Now());
-  EventLine line(kRelayPart, "request", mCall.mRequestId);
+  EventLine line(kRelayComponent, "request", mCall.mRequestId);
   line.Add("outcome", aOutcome)
     .Add("reason", aReason)
     .Add("content", mDigest.Text())
-    .Add("status", mFirstStatus)
+    .Add("status", mAnswerStatus)
     .Add("route", mRoute != nullptr ? mRoute->mName : "")
     .Add("service", mService)
     .Add("team", mTeam != nullptr ? mTeam->mName : "")
-    .Add("attempts", mTried.size())
+    .Add("attempts", mTriedEndpoints.size())
     .Add("unsent", mUnsentTries)
     .Add("may_have_run", mMayHaveRun)
     .Add("config", mView->mConfig->Version())
--- a/packages/coordination/src/relay_session.cpp
+++ b/packages/coordination/src/relay_session.cpp
@@ -76,7 +76,7 @@
 {
   const auto limits = mCore->mView->mConfig->Rules().mLimits;
   RelayRequestReader reader(limits.mHeaderBytes, limits.mBodyBytes);
-  const bool isWhole = co_await ReadWhole(reader, limits);
+  const bool isWhole = co_await ReadFullRequest(reader, limits);
   if (!isWhole) {
     co_return nullptr;
   }
@@ -88,8 +88,8 @@
 }
 
 Task<bool>
-RelaySession::ReadWhole(RelayRequestReader& aRequest,
-                        const state::CallerLimits& aLimits)
+RelaySession::ReadFullRequest(RelayRequestReader& aRequest,
+                              const state::CallerLimits& aLimits)
 {
   const auto& clock = mCore->mParts.mClock;
   TimePoint until = clock.Now() + aLimits.mIdleTimeout;
@@ -141,7 +141,7 @@
 Task<void>
 RelaySession::RefuseUnread(unsigned aStatus, std::string_view aProblem)
 {
-  mCore->mParts.mLog.Write(EventLine(kRelayPart, "unread")
+  mCore->mParts.mLog.Write(EventLine(kRelayComponent, "unread")
                              .Add("status", aStatus)
                              .Add("problem", aProblem));
   std::string text = "HTTP/1.1 " + std::to_string(aStatus) +
--- a/packages/coordination/src/relay_session.h
+++ b/packages/coordination/src/relay_session.h
@@ -33,8 +33,8 @@
   /// Reads into aRequest until it is whole; false when it will not be.
   ///
   /// @pre  both arguments outlive the call
-  transport::Task<bool> ReadWhole(transport::RelayRequestReader& aRequest,
-                                  const state::CallerLimits& aLimits);
+  transport::Task<bool> ReadFullRequest(transport::RelayRequestReader& aRequest,
+                                        const state::CallerLimits& aLimits);
 
   /// Whether the bodies in memory leave room for one more.
   bool HasRoomForBody() const;
--- a/packages/coordination/src/request_intake.cpp
+++ b/packages/coordination/src/request_intake.cpp
@@ -128,7 +128,7 @@
                       "'Idempotency-Key' is longer than " +
                         std::to_string(kMaxKeyBytes) + " characters");
   }
-  mIsMarkedOnce = IsTrue(request.Field("x-not-repeatable"));
+  mIsNotRepeatable = IsTrue(request.Field("x-not-repeatable"));
   const auto name = request.Field("x-template");
   if (!name.empty()) {
     const auto found = mConfig.mSnapshot->mTemplates.find(std::string(name));
@@ -137,7 +137,7 @@
         400, "unknown_template", "'X-Template' names no template");
     }
     mSubmit.mPriority = found->second.mUrgency;
-    mIsMarkedOnce = mIsMarkedOnce || !found->second.mIsRepeatable;
+    mIsNotRepeatable = mIsNotRepeatable || !found->second.mIsRepeatable;
   }
   const auto priority = request.Field("priority");
   if (!priority.empty()) {
@@ -156,11 +156,11 @@
   }
   mDeadline =
     mArrived + limit.value_or(mRouter.mSettings.mRouter.mDefaultDeadline);
-  if (mIsMarkedOnce && mSubmit.mKey.empty()) {
+  if (mIsNotRepeatable && mSubmit.mKey.empty()) {
     // Nothing else names it; a caller that asks again asks for a new run.
     mSubmit.mKey = state::RandomNonce();
   }
-  mSubmit.mIsOnce = mIsMarkedOnce;
+  mSubmit.mIsOnce = mIsNotRepeatable;
   return std::nullopt;
 }
 
@@ -181,13 +181,13 @@
     co_await mExchange.Respond(ErrorResponse(*refusal, mRequestId));
     co_return;
   }
-  AnswerHead head;
+  ResponseMetadata head;
   head.mKind = aKind;
   head.mId = mRequestId;
   head.mModel = call->mModel;
   head.mCreated = mRouter.mClock.WallMillis() / 1000;
   mSink = call->mIsStream ? MakeStreamSink(mExchange, head, call->mWantsUsage)
-                          : MakeWholeSink(mExchange, head);
+                          : MakeBufferedSink(mExchange, head);
   mSubmit.mKind = aKind;
   mSubmit.mServes = call->mModel;
   mSubmit.mIsStream = call->mIsStream;
@@ -198,8 +198,8 @@
   mChain = state::BuildPrefixChain(
     { mTeam->mName, call->mModel, mRouter.WeightsOf(call->mModel) },
     call->mLevels);
-  mLife = std::make_unique<state::RequestLife>(
-    mIsMarkedOnce ? Repeatability::kClaimed : Repeatability::kRepeatable);
+  mLife = std::make_unique<state::RequestLifecycle>(
+    mIsNotRepeatable ? Repeatability::kClaimed : Repeatability::kRepeatable);
   co_await Serve();
 }
 
@@ -235,11 +235,11 @@
   mSubmit.mContentType = request.mContentType;
   mSubmit.mBody = request.mBody;
   auto repeatability = Repeatability::kClaimed;
-  if (!mIsMarkedOnce) {
+  if (!mIsNotRepeatable) {
     repeatability = IsIdempotent(request.mMethod) ? Repeatability::kRepeatable
                                                   : Repeatability::kUnclaimed;
   }
-  mLife = std::make_unique<state::RequestLife>(repeatability);
+  mLife = std::make_unique<state::RequestLifecycle>(repeatability);
   co_await Serve();
 }
 
--- a/packages/coordination/src/request_run.cpp
+++ b/packages/coordination/src/request_run.cpp
@@ -33,7 +33,7 @@
   mExchange.OnGone([this] {
     mIsGone = true;
     if (mMailbox) {
-      mMailbox->Push(AttemptEvent(CallerGone{}));
+      mMailbox->Push(AttemptEvent(ClientDisconnected{}));
     }
   });
   mRouter.mRetries.Earn(mArrived);
@@ -41,7 +41,7 @@
   while (!mIsGone && mLife->MayOffer() && mAttempts < settings.mMaxAttempts) {
     const TimePoint now = mRouter.mClock.Now();
     if (!mHasFirstToken && now >= mDeadline) {
-      mIsTooLate = true;
+      mIsDeadlineExceeded = true;
       break;
     }
     mEndpoint = co_await mRouter.Choose(mQuery, mSubmit.mPriority, mExcluded);
@@ -62,12 +62,12 @@
   if (end != RequestState::kComplete && !mIsGone) {
     const ApiError error = FinalError();
     mRouter.mLog.Info("ended in " + error.mCode + " after " +
-                        std::to_string(mAttempts) + " attempts: " + mLastText +
+                        std::to_string(mAttempts) + " attempts: " + mLastError +
                         ".",
                       mRequestId);
     co_await mSink->Fail(error);
   }
-  NoteEnd();
+  CountOutcome();
 }
 
 Task<bool>
@@ -121,8 +121,8 @@
   const auto ready = co_await link->Ready();
   mWasRefused = false;
   if (!ready) {
-    mLastText = ready.error().Describe();
-    LoseEndpoint();
+    mLastError = ready.error().Describe();
+    ExcludeEndpoint();
     co_return;
   }
   mMailbox = std::make_shared<AttemptMailbox>(mRouter.mContext.get_executor());
@@ -131,30 +131,30 @@
   mIsStarted = false;
   mLife->Offered();
   auto submit = MakeSubmit(id);
-  submit.mConfigVersion = link->VersionNews(mRouter.mConfig.Version());
+  submit.mConfigVersion = link->UnannouncedVersion(mRouter.mConfig.Version());
   link->Send(submit);
   mRouter.mLog.Debug("attempt " + std::to_string(attempt) + " goes to " +
                        mRouter.mTable.At(aHandle).mInstance.mName + ".",
                      mRequestId);
-  auto outcome = AttemptOutcome::kGoesOn;
-  while (outcome == AttemptOutcome::kGoesOn) {
+  auto outcome = AttemptOutcome::kContinues;
+  while (outcome == AttemptOutcome::kContinues) {
     auto event = co_await mMailbox->Receive(EventDeadline());
     if (!event) {
-      mLastText = "no answer in time";
-      mIsTooLate = !mHasFirstToken;
+      mLastError = "no answer in time";
+      mIsDeadlineExceeded = !mHasFirstToken;
       mLife->Lost();
-      LoseEndpoint();
+      ExcludeEndpoint();
       link->Send(protocol::Cancel{ id, attempt });
       break;
     }
-    if (std::holds_alternative<CallerGone>(*event)) {
+    if (std::holds_alternative<ClientDisconnected>(*event)) {
       link->Send(protocol::Cancel{ id, attempt });
       break;
     }
     if (const auto* down = std::get_if<LinkDown>(&*event)) {
-      mLastText = "the link broke: " + down->mText;
+      mLastError = "the link broke: " + down->mText;
       mLife->Lost();
-      LoseEndpoint();
+      ExcludeEndpoint();
       break;
     }
     outcome = co_await Take(*link, id, std::move(std::get<Message>(*event)));
@@ -165,7 +165,7 @@
 }
 
 void
-RequestRun::LoseEndpoint()
+RequestRun::ExcludeEndpoint()
 {
   mRouter.mTable.At(mEndpoint).mHealth.Failed(mRouter.mClock.Now());
   mExcluded.push_back(mEndpoint);
@@ -175,29 +175,29 @@
 RequestRun::Take(PeerLink& aLink, protocol::StreamId aId, Message aMessage)
 {
   if (auto* tokens = std::get_if<protocol::Tokens>(&aMessage)) {
-    co_return co_await TakeTokens(aLink, aId, std::move(*tokens));
+    co_return co_await HandleTokens(aLink, aId, std::move(*tokens));
   }
   if (auto* finished = std::get_if<protocol::Finished>(&aMessage)) {
-    co_return co_await TakeFinished(std::move(*finished));
+    co_return co_await HandleFinished(std::move(*finished));
   }
   if (const auto* started = std::get_if<protocol::Started>(&aMessage)) {
-    TakeStarted(*started);
-    co_return AttemptOutcome::kGoesOn;
+    HandleStarted(*started);
+    co_return AttemptOutcome::kContinues;
   }
   if (const auto* refused = std::get_if<protocol::Refused>(&aMessage)) {
-    TakeRefused(*refused);
+    HandleRefused(*refused);
     co_return AttemptOutcome::kEnded;
   }
   if (const auto* failed = std::get_if<protocol::Failed>(&aMessage)) {
-    TakeFailed(*failed);
+    HandleFailed(*failed);
     co_return AttemptOutcome::kEnded;
   }
   mRouter.mMetrics.Count("shuntjunction_frames_unexpected_total");
-  co_return AttemptOutcome::kGoesOn;
+  co_return AttemptOutcome::kContinues;
 }
 
 void
-RequestRun::TakeStarted(const protocol::Started& aStarted)
+RequestRun::HandleStarted(const protocol::Started& aStarted)
 {
   if (aStarted.mAttempt != mGate.AttemptNumber()) {
     return;
@@ -220,23 +220,23 @@
   auto& metrics = mRouter.mMetrics;
   const std::chrono::duration<double> queued = now - mArrived;
   metrics.Observe(
-    RequestMeasure::kQueue, mSubmit.mTeam, mSubmit.mPriority, queued.count());
+    RequestMetric::kQueue, mSubmit.mTeam, mSubmit.mPriority, queued.count());
   if (mQuery.mBlocks > 0) {
-    metrics.Observe(RequestMeasure::kCachedShare,
+    metrics.Observe(RequestMetric::kCachedShare,
                     mSubmit.mTeam,
                     mSubmit.mPriority,
                     1.0 - static_cast<double>(missing) / mQuery.mBlocks);
     metrics.Observe(
-      RequestMeasure::kRecomputed, mSubmit.mTeam, mSubmit.mPriority, missing);
+      RequestMetric::kRecomputed, mSubmit.mTeam, mSubmit.mPriority, missing);
     metrics.Count("shuntjunction_prompt_blocks_total", {}, mQuery.mBlocks);
     metrics.Count("shuntjunction_computed_blocks_total", {}, missing);
   }
 }
 
 Task<RequestRun::AttemptOutcome>
-RequestRun::TakeTokens(PeerLink& aLink,
-                       protocol::StreamId aId,
-                       protocol::Tokens aTokens)
+RequestRun::HandleTokens(PeerLink& aLink,
+                         protocol::StreamId aId,
+                         protocol::Tokens aTokens)
 {
   auto& metrics = mRouter.mMetrics;
   const state::AttemptId from{ aTokens.mAttempt, aTokens.mIncarnation };
@@ -245,11 +245,11 @@
       metrics.Count("shuntjunction_tokens_dropped_total",
                     {},
                     static_cast<double>(aTokens.mCount));
-      co_return AttemptOutcome::kGoesOn;
+      co_return AttemptOutcome::kContinues;
     case state::StreamGate::Verdict::kGap:
-      mLastText = "tokens were missing in the stream";
+      mLastError = "tokens were missing in the stream";
       mLife->Lost();
-      LoseEndpoint();
+      ExcludeEndpoint();
       aLink.Send(protocol::Cancel{ aId, aTokens.mAttempt });
       co_return AttemptOutcome::kEnded;
     case state::StreamGate::Verdict::kDeliver:
@@ -259,8 +259,8 @@
   const bool isFirst = !std::exchange(mHasFirstToken, true);
   const std::chrono::duration<double> since =
     now - (isFirst ? mArrived : mLastToken);
-  metrics.Observe(isFirst ? RequestMeasure::kFirstToken
-                          : RequestMeasure::kBetweenTokens,
+  metrics.Observe(isFirst ? RequestMetric::kFirstToken
+                          : RequestMetric::kBetweenTokens,
                   mSubmit.mTeam,
                   mSubmit.mPriority,
                   since.count());
@@ -269,7 +269,7 @@
   const auto most =
     static_cast<std::size_t>(mRouter.mSettings.mLimits.mMaxAnswerBytes);
   if (mText.size() > most) {
-    mLastText = "the answer is too large";
+    mLastError = "the answer is too large";
     mLife->Settled();
     aLink.Send(protocol::Cancel{ aId, aTokens.mAttempt });
     co_return AttemptOutcome::kEnded;
@@ -281,22 +281,22 @@
     co_return AttemptOutcome::kEnded;
   }
   aLink.Send(protocol::Credit{ aId, aTokens.mAttempt, aTokens.mCount });
-  co_return AttemptOutcome::kGoesOn;
+  co_return AttemptOutcome::kContinues;
 }
 
 Task<RequestRun::AttemptOutcome>
-RequestRun::TakeFinished(protocol::Finished aFinished)
+RequestRun::HandleFinished(protocol::Finished aFinished)
 {
   const state::AttemptId from{ aFinished.mAttempt, aFinished.mIncarnation };
   if (!mGate.Matches(from)) {
     mRouter.mMetrics.Count("shuntjunction_late_answers_dropped_total");
-    co_return AttemptOutcome::kGoesOn;
+    co_return AttemptOutcome::kContinues;
   }
   const bool isService = mSubmit.mKind == RequestKind::kService;
   if (!isService && !mGate.Completes(from, aFinished.mTotalTokens)) {
-    mLastText = "the stream ended before all its tokens came";
+    mLastError = "the stream ended before all its tokens came";
     mLife->Lost();
-    LoseEndpoint();
+    ExcludeEndpoint();
     co_return AttemptOutcome::kEnded;
   }
   if (!aFinished.mIsReplayed) {
@@ -311,11 +311,11 @@
 }
 
 void
-RequestRun::TakeRefused(const protocol::Refused& aRefused)
+RequestRun::HandleRefused(const protocol::Refused& aRefused)
 {
   mLife->Refused();
   mWasRefused = true;
-  mLastText =
+  mLastError =
     "refused by " + mRouter.mTable.At(mEndpoint).mInstance.mName + " (" +
     std::string(state::kRefusalReasonNames.Name(aRefused.mReason)) + ")";
   mExcluded.push_back(mEndpoint);
@@ -338,23 +338,23 @@
 }
 
 void
-RequestRun::TakeFailed(const protocol::Failed& aFailed)
+RequestRun::HandleFailed(const protocol::Failed& aFailed)
 {
-  mLastText = aFailed.mText;
+  mLastError = aFailed.mText;
   switch (aFailed.mRunState) {
     case RunState::kAlreadyTaken:
       // A lost endpoint may have taken this very request: then no earlier one
       // did, and the caller must not be told of any.
-      mSettledAs = mLife->WasLost() ? RunState::kUnknown : aFailed.mRunState;
+      mSettledState = mLife->WasLost() ? RunState::kUnknown : aFailed.mRunState;
       mLife->Settled();
       return;
     case RunState::kKeyReused:
-      mSettledAs = aFailed.mRunState;
+      mSettledState = aFailed.mRunState;
       mLife->Settled();
       return;
     default:
       mLife->Lost();
-      LoseEndpoint();
+      ExcludeEndpoint();
       return;
   }
 }
@@ -369,7 +369,7 @@
   error.mType = "idempotency_error";
   error.mCode =
     aRunState == RunState::kKeyReused ? "key_reused" : "already_taken";
-  error.mMessage = mLastText;
+  error.mMessage = mLastError;
   error.mRunState = state::kRunStateNames.Name(aRunState);
   return error;
 }
@@ -377,17 +377,17 @@
 ApiError
 RequestRun::FinalError() const
 {
-  if (mSettledAs && *mSettledAs != RunState::kUnknown) {
-    return SettledError(*mSettledAs);
+  if (mSettledState && *mSettledState != RunState::kUnknown) {
+    return SettledError(*mSettledState);
   }
   const bool isNotRun = mLife->IsNotRun();
   ApiError error;
   error.mRunState = state::kRunStateNames.Name(isNotRun ? RunState::kNotRun
                                                         : RunState::kUnknown);
-  error.mMessage = mLastText;
+  error.mMessage = mLastError;
   error.mRetryAfterMs =
     mRetryAfterMs == 0 ? kDefaultRetryAfterMs : mRetryAfterMs;
-  if (mIsTooLate) {
+  if (mIsDeadlineExceeded) {
     error.mStatus = 504;
     error.mType = "timeout_error";
     error.mCode = "deadline_exceeded";
@@ -407,7 +407,7 @@
 }
 
 void
-RequestRun::NoteEnd()
+RequestRun::CountOutcome()
 {
   const std::string_view outcome =
     mIsGone ? "caller-gone" : state::kRequestStateNames.Name(mLife->State());
--- a/packages/coordination/src/request_run.h
+++ b/packages/coordination/src/request_run.h
@@ -9,7 +9,7 @@
 
 #include "answer_sink.h"
 #include "shuntjunction/coordination/router.h"
-#include "shuntjunction/state/request_life.h"
+#include "shuntjunction/state/request_lifecycle.h"
 #include "shuntjunction/state/stream_gate.h"
 
 namespace shuntjunction::coordination {
@@ -37,7 +37,7 @@
   /// What an event did to the open attempt.
   enum class AttemptOutcome : std::uint8_t
   {
-    kGoesOn,
+    kContinues,
     kEnded,
   };
 
@@ -48,20 +48,20 @@
   transport::Task<AttemptOutcome> Take(PeerLink& aLink,
                                        protocol::StreamId aId,
                                        protocol::Message aMessage);
-  transport::Task<AttemptOutcome> TakeTokens(PeerLink& aLink,
-                                             protocol::StreamId aId,
-                                             protocol::Tokens aTokens);
-  transport::Task<AttemptOutcome> TakeFinished(protocol::Finished aFinished);
-  void TakeStarted(const protocol::Started& aStarted);
-  void TakeRefused(const protocol::Refused& aRefused);
-  void TakeFailed(const protocol::Failed& aFailed);
+  transport::Task<AttemptOutcome> HandleTokens(PeerLink& aLink,
+                                               protocol::StreamId aId,
+                                               protocol::Tokens aTokens);
+  transport::Task<AttemptOutcome> HandleFinished(protocol::Finished aFinished);
+  void HandleStarted(const protocol::Started& aStarted);
+  void HandleRefused(const protocol::Refused& aRefused);
+  void HandleFailed(const protocol::Failed& aFailed);
   protocol::Submit MakeSubmit(protocol::StreamId aId) const;
   state::TimePoint EventDeadline() const;
   transport::Task<bool> ReconsiderExcluded();
   ApiError FinalError() const;
   ApiError SettledError(state::RunState aRunState) const;
-  void NoteEnd();
-  void LoseEndpoint();
+  void CountOutcome();
+  void ExcludeEndpoint();
 
   Router& mRouter;
   transport::HttpExchange& mExchange;
@@ -72,11 +72,11 @@
   protocol::Submit mSubmit;
   state::PrefixChain mChain;
   state::ChoiceQuery mQuery;
-  std::unique_ptr<state::RequestLife> mLife;
+  std::unique_ptr<state::RequestLifecycle> mLife;
   state::StreamGate mGate;
-  bool mIsMarkedOnce = false;
+  bool mIsNotRepeatable = false;
   bool mIsGone = false;
-  bool mIsTooLate = false;
+  bool mIsDeadlineExceeded = false;
   bool mIsOutOfRetries = false;
   state::TimePoint mArrived;
   state::TimePoint mDeadline;
@@ -91,8 +91,8 @@
   bool mWasRefused = false;   ///< the last attempt was
   std::uint32_t mWeights = 0; ///< that answered first; 0 until known
   std::uint32_t mRetryAfterMs = 0;
-  std::optional<state::RunState> mSettledAs;
-  std::string mLastText = "no endpoint serves it"; ///< why it failed, at last
+  std::optional<state::RunState> mSettledState;
+  std::string mLastError = "no endpoint serves it"; ///< why it failed, at last
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/router.cpp
+++ b/packages/coordination/src/router.cpp
@@ -51,7 +51,7 @@
                const state::Settings& aSettings,
                const state::Clock& aClock,
                Metrics& aMetrics,
-               PeerSnapshotTaker aOnPeerSnapshot)
+               PeerSnapshotHandler aOnPeerSnapshot)
   : mContext(aContext)
   , mSettings(aSettings)
   , mClock(aClock)
@@ -77,7 +77,7 @@
 // What the control thread brings.
 
 void
-Router::TakeConfig(PublishedConfig aConfig)
+Router::ApplyConfig(PublishedConfig aConfig)
 {
   mConfig = std::move(aConfig);
   const auto& instances = *mConfig.mInstances;
@@ -191,7 +191,7 @@
 {
   const auto handle = mTable.Find(aEndpoint);
   if (handle.IsValid()) {
-    mTable.NoteOpen(handle);
+    mTable.NoteReconnected(handle);
   }
 }
 
@@ -230,7 +230,7 @@
     const auto mailbox =
       std::make_shared<AttemptMailbox>(mContext.get_executor());
     aProbe.mId = link->Open(mailbox);
-    aProbe.mConfigVersion = link->VersionNews(mConfig.Version());
+    aProbe.mConfigVersion = link->UnannouncedVersion(mConfig.Version());
     link->Send(aProbe);
     auto event = co_await mailbox->Receive(aRound->mUntil);
     link->Close(aProbe.mId);
@@ -330,7 +330,7 @@
   if (usable.empty()) {
     co_return EndpointHandle{};
   }
-  const bool asks = mChooser->AsksFirst(aQuery);
+  const bool asks = mChooser->ProbesFirst(aQuery);
   const std::size_t limit = asks ? mSettings.mRouter.mChooser.mProbes : 1;
   const auto candidates = mChooser->Candidates(aQuery, usable, limit, now);
   if (!asks || candidates.size() < 2) {
@@ -343,8 +343,8 @@
   // None of them takes it: the least loaded of all as far as is known.
   const auto least = std::min_element(
     usable.begin(), usable.end(), [&](auto aLeft, auto aRight) {
-      return state::RememberedWaitMicros(mTable.At(aLeft), now) <
-             state::RememberedWaitMicros(mTable.At(aRight), now);
+      return state::EstimatedWaitMicros(mTable.At(aLeft), now) <
+             state::EstimatedWaitMicros(mTable.At(aRight), now);
     });
   co_return *least;
 }
--- a/packages/coordination/src/engine_gate.cpp
+++ b/packages/coordination/src/throttled_engine_control.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/engine_gate.h"
+#include "shuntjunction/coordination/throttled_engine_control.h"
 
 #include <utility>
 
@@ -8,24 +8,25 @@
 using state::Result;
 using transport::Task;
 
-EngineGate::EngineGate(std::unique_ptr<EngineControl> aEngine,
-                       const state::Clock& aClock,
-                       EventLog& aLog)
+ThrottledEngineControl::ThrottledEngineControl(
+  std::unique_ptr<EngineControl> aEngine,
+  const state::Clock& aClock,
+  EventLog& aLog)
   : mEngine(std::move(aEngine))
   , mClock(aClock)
   , mLog(aLog)
 {
-  mEngine->OnNotice([this](const auto& aNotice) { Take(aNotice); });
+  mEngine->SetNoticeHandler([this](const auto& aNotice) { Take(aNotice); });
 }
 
 void
-EngineGate::OnNotice(NoticeTaker aTake)
+ThrottledEngineControl::SetNoticeHandler(NoticeHandler aTake)
 {
   mTake = std::move(aTake);
 }
 
 void
-EngineGate::Take(const state::EndpointNotice& aNotice)
+ThrottledEngineControl::Take(const state::EndpointNotice& aNotice)
 {
   const auto change =
     mAvailability.Take(aNotice, mClock.Now(), mClock.WallMillis());
@@ -39,7 +40,7 @@
 }
 
 Task<void>
-EngineGate::AwaitCooldownEnd()
+ThrottledEngineControl::AwaitCooldownEnd()
 {
   // Another call may have been refused while this one waited.
   auto left = mAvailability.RequestedCooldownEnd() - mClock.Now();
@@ -50,21 +51,21 @@
 }
 
 Task<Result<EngineReport>>
-EngineGate::Report()
+ThrottledEngineControl::Report()
 {
   co_await AwaitCooldownEnd();
   co_return co_await mEngine->Report();
 }
 
 Task<Result<PartChanges>>
-EngineGate::Changes(std::uint64_t aSince, Millis aWait)
+ThrottledEngineControl::Changes(std::uint64_t aSince, Millis aWait)
 {
   co_await AwaitCooldownEnd();
   co_return co_await mEngine->Changes(aSince, aWait);
 }
 
 Task<Result<OrderOutcome>>
-EngineGate::Order(LoadOrder aOrder)
+ThrottledEngineControl::Order(LoadOrder aOrder)
 {
   co_await AwaitCooldownEnd();
   co_return co_await mEngine->Order(std::move(aOrder));
--- a/packages/coordination/src/weights_keeper.cpp
+++ b/packages/coordination/src/weights_controller.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/weights_keeper.h"
+#include "shuntjunction/coordination/weights_controller.h"
 
 #include <algorithm>
 #include <random>
@@ -9,8 +9,8 @@
 
 using protocol::EnginePhase;
 using state::ErrorCode;
+using state::LatestWeights;
 using state::Millis;
-using state::NamedWeights;
 
 namespace {
 
@@ -36,40 +36,41 @@
 
 } // namespace
 
-WeightsKeeper::WeightsKeeper(const WeightsKeeperParts& aParts)
+WeightsController::WeightsController(
+  const WeightsControllerDependencies& aParts)
   : mParts(aParts)
   , mWake(aParts.mContext)
 {
 }
 
 void
-WeightsKeeper::Start()
+WeightsController::Start()
 {
   transport::Spawn(mParts.mContext, Run());
 }
 
 void
-WeightsKeeper::TakeView(std::shared_ptr<const RelayView> aView)
+WeightsController::ApplyView(std::shared_ptr<const RelayView> aView)
 {
   mView = std::move(aView);
   mWake.cancel();
 }
 
 transport::Task<void>
-WeightsKeeper::WaitFor(Millis aTime)
+WeightsController::WaitFor(Millis aTime)
 {
   mWake.expires_after(aTime);
   co_await mWake.async_wait(transport::kAsTuple);
 }
 
 transport::Task<void>
-WeightsKeeper::Run()
+WeightsController::Run()
 {
   co_await TakeFence();
   while (true) {
     const auto task = NextTask();
     const auto now = mParts.mClock.Now();
-    const auto close = mParts.mSettings.mLoadTurns.mClose;
+    const auto close = mParts.mSettings.mLoadSchedule.mDrainLead;
     if (!task) {
       Tell(EnginePhase::kOpen);
       co_await WaitFor(kIdleWait);
@@ -87,7 +88,7 @@
 }
 
 void
-WeightsKeeper::Tell(EnginePhase aPhase)
+WeightsController::Tell(EnginePhase aPhase)
 {
   const auto* own = OwnEndpoint();
   if (own == nullptr) {
@@ -104,7 +105,7 @@
 }
 
 transport::Task<void>
-WeightsKeeper::TakeFence()
+WeightsController::TakeFence()
 {
   const std::string key =
     mParts.mCodec.ProcessPrefix() + mParts.mSettings.mName;
@@ -129,7 +130,7 @@
 }
 
 const state::EndpointInfo*
-WeightsKeeper::OwnEndpoint() const
+WeightsController::OwnEndpoint() const
 {
   const state::EndpointInfo* own = nullptr;
   for (const auto& endpoint : mView->mEndpoints) {
@@ -142,8 +143,8 @@
 }
 
 std::uint64_t
-WeightsKeeper::KnownVersion(const state::EndpointInfo& aOwn,
-                            const state::LoadedModel& aListed) const
+WeightsController::KnownVersion(const state::EndpointInfo& aOwn,
+                                const state::LoadedModel& aListed) const
 {
   if (!mReport || mReportedBy != aOwn.mId) {
     return aListed.mVersion;
@@ -158,21 +159,22 @@
   }
   // An engine that started again may have older weights than its former life,
   // of which the list still tells.
-  return mReport->mLife == aOwn.mLife
+  return mReport->mEndpointIncarnation == aOwn.mEndpointIncarnation
            ? std::max(aListed.mVersion, reported->mVersion)
            : reported->mVersion;
 }
 
 void
-WeightsKeeper::TakeReport(const EngineReport& aReport)
+WeightsController::ApplyReport(const EngineReport& aReport)
 {
   const auto* own = OwnEndpoint();
   if (own == nullptr) {
     return;
   }
-  const bool isOther = !mReport || mReportedBy != own->mId ||
-                       mReport->mLife != aReport.mLife ||
-                       mReport->mModels != aReport.mModels;
+  const bool isOther =
+    !mReport || mReportedBy != own->mId ||
+    mReport->mEndpointIncarnation != aReport.mEndpointIncarnation ||
+    mReport->mModels != aReport.mModels;
   mReport = aReport;
   mReportedBy = own->mId;
   if (isOther) {
@@ -180,8 +182,8 @@
   }
 }
 
-std::optional<WeightsKeeper::Task>
-WeightsKeeper::NextTask() const
+std::optional<WeightsController::Task>
+WeightsController::NextTask() const
 {
   const auto* own = OwnEndpoint();
   if (own == nullptr) {
@@ -193,21 +195,21 @@
       continue;
     }
     const auto& news = named->second;
-    const NamedWeights weights{ loaded.mName, news.Newest() };
+    const LatestWeights weights{ loaded.mName, news.Newest() };
     if (KnownVersion(*own, loaded) >= weights.mVersion) {
       continue;
     }
-    const auto turn =
-      state::TurnOf(news.mLoadOrder, own->mId, mParts.mSettings.mLoadTurns);
+    const auto turn = state::LoadStartOf(
+      news.mLoadOrder, own->mId, mParts.mSettings.mLoadSchedule);
     return Task{ own->mId,
                  weights,
-                 news.NewestKnownAt() + turn.value_or(Millis(0)) };
+                 news.NewestLearnedAt() + turn.value_or(Millis(0)) };
   }
   return std::nullopt;
 }
 
 transport::Task<void>
-WeightsKeeper::Carry(Task aTask)
+WeightsController::Carry(Task aTask)
 {
   const auto report = co_await mParts.mEngine.Report();
   if (!report) {
@@ -216,7 +218,7 @@
     co_await transport::Sleep(kRetryPause);
     co_return;
   }
-  TakeReport(*report);
+  ApplyReport(*report);
   const auto* own = OwnEndpoint();
   const auto loaded =
     own == nullptr ? 0 : KnownVersion(*own, { aTask.mWeights.mModel, 0 });
--- a/packages/coordination/src/zone_watch.cpp
+++ b/packages/coordination/src/zone_mirror.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/coordination/zone_watch.h"
+#include "shuntjunction/coordination/zone_mirror.h"
 
 #include <algorithm>
 #include <random>
@@ -31,14 +31,15 @@
 
 } // namespace
 
-ZonePlatformSettings
-ZoneSettingsOf(const FleetSettings& aSettings, const StoreCodec& aCodec)
+MirroredPlatformSettings
+MakeMirroredPlatformSettings(const FleetSettings& aSettings,
+                             const StoreCodec& aCodec)
 {
-  ZonePlatformSettings zone;
+  MirroredPlatformSettings zone;
   zone.mName = aSettings.mName;
   zone.mSecret = aSettings.mSecret;
   zone.mZone = aSettings.mZone;
-  zone.mOwnEngine = aSettings.mEngine;
+  zone.mLocalEngine = aSettings.mEngine;
   const auto watch = state::ParseAddress(aSettings.mWatchListen);
   zone.mWatchPort = watch ? watch->mPort : 0;
   zone.mPrefixes = { aCodec.ConfigPrefix(),
@@ -48,18 +49,18 @@
   const auto& bounds = aSettings.mBounds;
   zone.mAskInterval =
     std::min(zone.mAskInterval, bounds.mEndpointLeaving / kAsksPerLeaving);
-  zone.mAnswerTimeout =
-    std::min(zone.mAnswerTimeout, bounds.mEndpointLeaving / kAnswersPerLeaving);
-  zone.mMostAge =
-    std::min(zone.mMostAge, bounds.mKeyRemoval / kAgesPerKeyRemoval);
+  zone.mResponseTimeout = std::min(
+    zone.mResponseTimeout, bounds.mEndpointLeaving / kAnswersPerLeaving);
+  zone.mMaxAge =
+    std::min(zone.mMaxAge, bounds.mKeyRemoval / kAgesPerKeyRemoval);
   return zone;
 }
 
-ZoneWatch::ZoneWatch(transport::asio::io_context& aContext,
-                     const ZonePlatformSettings& aSettings,
-                     Platform& aStore,
-                     const state::Clock& aClock,
-                     EventLog& aLog)
+ZoneMirror::ZoneMirror(transport::asio::io_context& aContext,
+                       const MirroredPlatformSettings& aSettings,
+                       Platform& aStore,
+                       const state::Clock& aClock,
+                       EventLog& aLog)
   : mContext(aContext)
   , mIdentity{ aSettings.mName, aSettings.mSecret, 0 }
   , mClock(aClock)
@@ -70,19 +71,19 @@
 }
 
 void
-ZoneWatch::Start()
+ZoneMirror::Start()
 {
   mPlatform.Start();
 }
 
 void
-ZoneWatch::TakeEndpoints(const std::vector<state::EndpointInfo>& aEndpoints)
+ZoneMirror::ApplyEndpoints(const std::vector<state::EndpointInfo>& aEndpoints)
 {
-  mPlatform.TakeEndpoints(aEndpoints);
+  mPlatform.ApplyEndpoints(aEndpoints);
 }
 
 Result<state::Address>
-ZoneWatch::Serve(const state::Address& aAddress, RelayFeed& aFeed)
+ZoneMirror::Serve(const state::Address& aAddress, RelayFeed& aFeed)
 {
   mServer = std::make_unique<SnapshotServer>(
     mContext, mIdentity, mLog, [this, &aFeed](const auto& aRequest) {
@@ -93,21 +94,21 @@
 }
 
 protocol::SnapshotReply
-ZoneWatch::Answer(RelayFeed& aFeed, const protocol::SnapshotRequest& aRequest)
+ZoneMirror::Answer(RelayFeed& aFeed, const protocol::SnapshotRequest& aRequest)
 {
-  mPlatform.NoteAsked();
+  mPlatform.NoteRequest();
   aFeed.BeginWatching();
   const auto page =
-    mMirror.PageSince(aRequest.mHaveInstances, aRequest.mHave, mClock.Now());
-  return { page.mSequence, state::WriteMirrorPage(page), {} };
+    mMirror.UpdateSince(aRequest.mHaveInstances, aRequest.mHave, mClock.Now());
+  return { page.mSequence, state::WriteMirrorUpdate(page), {} };
 }
 
 Task<void>
-ZoneWatch::EndWhenNobodyAsks(RelayFeed* aFeed)
+ZoneMirror::EndWhenNobodyAsks(RelayFeed* aFeed)
 {
   while (true) {
     co_await transport::Sleep(kAskedInterval);
-    if (!mPlatform.IsAsked()) {
+    if (!mPlatform.HasRecentRequests()) {
       aFeed->EndWatching();
     }
   }
--- a/packages/coordination/tests/claims_test.cpp
+++ b/packages/coordination/tests/claims_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "fake_platform.h"
-#include "shuntjunction/coordination/claim_keeper.h"
+#include "shuntjunction/coordination/claim_manager.h"
 #include "shuntjunction/coordination/claim_sweeper.h"
 #include "shuntjunction/state/claim_retention.h"
 #include "shuntjunction/transport/run_task.h"
@@ -30,13 +30,13 @@
     mContext.run();
   }
 
-  ClaimVerdict Claim(const std::string& aKey)
+  ClaimResult Claim(const std::string& aKey)
   {
     return Run(
       mKeeper.Settle("north", aKey, "digest", mClock.Now() + Millis(1000)));
   }
 
-  void Record(ClaimVerdict aVerdict)
+  void Record(ClaimResult aVerdict)
   {
     aVerdict.mRecord.mIsDone = true;
     aVerdict.mRecord.mStatus = 200;
@@ -48,13 +48,13 @@
   state::SystemClock mClock;
   Metrics mMetrics;
   FakePlatform mPlatform;
-  ClaimKeeper mKeeper{ mContext, mPlatform, mClock, mMetrics };
+  ClaimManager mKeeper{ mContext, mPlatform, mClock, mMetrics };
 };
 
 TEST_F(GivenAKeeper, ARequestCostsTwoWritesAndNoRead)
 {
   const auto verdict = Claim("k");
-  ASSERT_EQ(verdict.mStep, ClaimStep::kHandOver);
+  ASSERT_EQ(verdict.mStep, ClaimStep::kExecute);
   Record(verdict);
   EXPECT_EQ(mPlatform.mWrites, 2);
   EXPECT_EQ(mPlatform.mReads, 0);
@@ -70,7 +70,7 @@
 {
   mPlatform.mNextWrite = WriteFate::kAnswerIsLost;
   const auto verdict = Claim("k");
-  ASSERT_EQ(verdict.mStep, ClaimStep::kHandOver);
+  ASSERT_EQ(verdict.mStep, ClaimStep::kExecute);
   EXPECT_NE(verdict.mRevision, 0U);
   Record(verdict);
   EXPECT_EQ(Claim("k").mStep, ClaimStep::kReplay);
@@ -91,9 +91,9 @@
   const auto verdict = Claim("k");
   mPlatform.mObjects.clear(); // An operator's hand, or a restored platform.
   const auto other = Claim("k");
-  ASSERT_EQ(other.mStep, ClaimStep::kHandOver);
+  ASSERT_EQ(other.mStep, ClaimStep::kExecute);
   Record(verdict);
-  EXPECT_EQ(Claim("k").mStep, ClaimStep::kTaken);
+  EXPECT_EQ(Claim("k").mStep, ClaimStep::kHeldByOther);
 }
 
 class WithOldClaims : public GivenAKeeper
@@ -106,7 +106,7 @@
     state::ClaimRecord record;
     record.mNonce = "n";
     record.mBodyDigest = "d";
-    record.mAtMillis = mClock.WallMillis() - aAge;
+    record.mCreatedAtMillis = mClock.WallMillis() - aAge;
     const std::string key =
       state::ClaimShardPrefix(aShard) + "t/" + std::to_string(aAge);
     mPlatform.mObjects[key] = { key, 1, state::WriteClaimRecord(record) };
--- a/packages/coordination/tests/engine_news_test.cpp
+++ b/packages/coordination/tests/engine_news_test.cpp
@@ -130,8 +130,8 @@
 
 TEST_F(GivenACompanionAndTwoRelays, WhatOneReadsTheOtherHearsAndNotItself)
 {
-  mOne.mClient.Tell(Listener::kEngine, { "s/a", false });
-  mOne.mClient.Tell(Listener::kEngine, { "s/a", true });
+  mOne.mClient.SendPartReading(Listener::kEngine, { "s/a", false });
+  mOne.mClient.SendPartReading(Listener::kEngine, { "s/a", true });
   Await([&] { return mTwo.mReadings.size() == 2; });
   EXPECT_EQ(mTwo.mReadings[0].mPart, "s/a");
   EXPECT_FALSE(mTwo.mReadings[0].mIsDone);
@@ -150,14 +150,14 @@
 class OfWhichOneSawACrash : public GivenACompanionAndTwoRelays
 {
 protected:
-  OfWhichOneSawACrash() { Tell(false); }
+  OfWhichOneSawACrash() { SendPartReading(false); }
 
-  void Tell(bool aIsCleared)
+  void SendPartReading(bool aIsCleared)
   {
     protocol::CrashReports reports;
     reports.mWords.push_back(
       { { { mRequest, kCrashed }, Millis(0) }, aIsCleared });
-    mOne.mClient.TellCrashes(kCrashed, reports);
+    mOne.mClient.SendCrashReports(kCrashed, reports);
   }
 
   static constexpr std::uint64_t kCrashed = 7;
@@ -166,8 +166,8 @@
 
 TEST_F(OfWhichOneSawACrash, TheOtherHearsOfItOnce)
 {
-  Tell(false);
-  Tell(true);
+  SendPartReading(false);
+  SendPartReading(true);
   Await([this] { return mTwo.mCrashes.size() == 2; });
   EXPECT_EQ(mTwo.mCrashes[0].mReport.mReport.mRequest, mRequest);
   EXPECT_FALSE(mTwo.mCrashes[0].mIsCleared);
@@ -186,7 +186,7 @@
 
 TEST_F(OfWhichOneSawACrash, OneThatComesAfterItWasClearedDoesNot)
 {
-  Tell(true);
+  SendPartReading(true);
   Await([this] { return mTwo.mCrashes.size() == 2; });
   Listener late(mContext, "relay-3", mPort, mLog);
   Await([&] { return !late.mNews.empty(); });
@@ -251,11 +251,11 @@
     AskFor("s/c");
     mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/a" }, {});
     mServer.SetLife(mNow);
-    Await([this] { return mOne.mNews.back().mLife == mNow; });
+    Await([this] { return mOne.mNews.back().mEndpointIncarnation == mNow; });
   }
 
-  const state::EndpointLife mFormer{ 1000 };
-  const state::EndpointLife mNow{ 2000 };
+  const state::EndpointIncarnation mFormer{ 1000 };
+  const state::EndpointIncarnation mNow{ 2000 };
 };
 
 TEST_F(WhoseEngineStartedAgain, RelaysHearThatItKeepsNothing)
--- a/packages/coordination/tests/fake_platform.h
+++ b/packages/coordination/tests/fake_platform.h
@@ -81,7 +81,7 @@
     co_return state::Result<void>{};
   }
 
-  transport::Task<state::Result<WatchAnswer>> Watch(std::string,
+  transport::Task<state::Result<WatchResult>> Watch(std::string,
                                                     std::uint64_t,
                                                     state::Millis) override
   {
@@ -94,7 +94,7 @@
     co_return NoAnswer();
   }
 
-  transport::Task<state::Result<ObjectList>> Glance(
+  transport::Task<state::Result<ObjectList>> ListCached(
     std::string aPrefix) override
   {
     return List(std::move(aPrefix));
--- a/packages/coordination/tests/engine_gate_test.cpp
+++ b/packages/coordination/tests/throttled_engine_control_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "shuntjunction/coordination/engine_gate.h"
+#include "shuntjunction/coordination/throttled_engine_control.h"
 
 // How a companion's control calls keep to the cooldowns of their engine.
 
@@ -21,7 +21,10 @@
   {
   }
 
-  void OnNotice(NoticeTaker aTake) override { mTake = std::move(aTake); }
+  void SetNoticeHandler(NoticeHandler aTake) override
+  {
+    mTake = std::move(aTake);
+  }
 
   Task<Result<EngineReport>> Report() override
   {
@@ -53,7 +56,7 @@
   }
 
   std::vector<state::TimePoint>& mCalls;
-  NoticeTaker mTake;
+  NoticeHandler mTake;
 };
 
 } // namespace
@@ -63,10 +66,12 @@
 protected:
   GivenAnEngineThatAskedForACooldown()
   {
-    Play([](EngineGate* aGate) -> Task<void> { co_await aGate->Report(); });
+    Play([](ThrottledEngineControl* aGate) -> Task<void> {
+      co_await aGate->Report();
+    });
   }
 
-  void Play(Task<void> (*aCall)(EngineGate*))
+  void Play(Task<void> (*aCall)(ThrottledEngineControl*))
   {
     transport::Spawn(mContext, aCall(&mGate));
     mContext.restart();
@@ -83,18 +88,22 @@
   std::vector<state::TimePoint> mCalls;
   state::SystemClock mClock;
   EventLog mLog{ EventLogSettings{}, mClock };
-  EngineGate mGate{ std::make_unique<RefusingEngine>(mCalls), mClock, mLog };
+  ThrottledEngineControl mGate{ std::make_unique<RefusingEngine>(mCalls),
+                                mClock,
+                                mLog };
 };
 
 TEST_F(GivenAnEngineThatAskedForACooldown, ReportsWaitForItsEnd)
 {
-  Play([](EngineGate* aGate) -> Task<void> { co_await aGate->Report(); });
+  Play([](ThrottledEngineControl* aGate) -> Task<void> {
+    co_await aGate->Report();
+  });
   ExpectTheSecondAfterTheCooldown();
 }
 
 TEST_F(GivenAnEngineThatAskedForACooldown, QuestionsForChangesWaitForItsEnd)
 {
-  Play([](EngineGate* aGate) -> Task<void> {
+  Play([](ThrottledEngineControl* aGate) -> Task<void> {
     co_await aGate->Changes(0, Millis(0));
   });
   ExpectTheSecondAfterTheCooldown();
@@ -102,7 +111,7 @@
 
 TEST_F(GivenAnEngineThatAskedForACooldown, OrdersWaitForItsEnd)
 {
-  Play([](EngineGate* aGate) -> Task<void> {
+  Play([](ThrottledEngineControl* aGate) -> Task<void> {
     LoadOrder order;
     co_await aGate->Order(std::move(order));
   });
--- a/packages/protocol/include/shuntjunction/protocol/messages.h
+++ b/packages/protocol/include/shuntjunction/protocol/messages.h
@@ -8,8 +8,8 @@
 
 #include "shuntjunction/state/waiting_tokens.h"
 #include "shuntjunction/state/block_index.h"
-#include "shuntjunction/state/crash_ledger.h"
-#include "shuntjunction/state/endpoint_life.h"
+#include "shuntjunction/state/crash_tracker.h"
+#include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/endpoint_limits.h"
 #include "shuntjunction/state/limit_shares.h"
 #include "shuntjunction/state/prefix_chain.h"
@@ -237,7 +237,7 @@
   /// Prompt tokens there of the relays other than the one that is told.
   state::WaitingTokens mWaiting;
   std::uint32_t mRelays = 0; ///< that the companion tells; 0: not known
-  state::EndpointLife mLife; ///< of the engine
+  state::EndpointIncarnation mEndpointIncarnation; ///< of the engine
 };
 
 /// What a relay tells the others, by an engine's companion: that the engine
--- a/packages/protocol/src/codec_pack.cpp
+++ b/packages/protocol/src/codec_pack.cpp
@@ -272,7 +272,7 @@
                                 lost,
                                 waiting,
                                 aMessage.mRelays,
-                                aMessage.mLife.StartedAt())
+                                aMessage.mEndpointIncarnation.StartedAt())
     .Union();
 }
 
@@ -360,11 +360,11 @@
   const auto& report = aMessage.mReport;
   return wire::CreateRateReport(aBuilder,
                                 report.mEndpoint.mHash,
-                                report.mEndpoint.mIsBeside,
+                                report.mEndpoint.mIsOnSameHost,
                                 report.mRate.mNotice ==
                                   state::RateNotice::kNamed,
                                 report.mRate.mPerSecond,
-                                report.mEdition)
+                                report.mRateVersion)
     .Union();
 }
 
@@ -386,7 +386,7 @@
   return wire::CreatePlaceAsk(aBuilder,
                               aMessage.mId,
                               ask.mEndpoint.mHash,
-                              ask.mEndpoint.mIsBeside,
+                              ask.mEndpoint.mIsOnSameHost,
                               ask.mPerSecond,
                               ask.mIsUrgent)
     .Union();
@@ -399,7 +399,7 @@
   return wire::CreatePlaceGrant(aBuilder,
                                 aMessage.mId,
                                 grant.mIsGiven,
-                                grant.mEdition,
+                                grant.mRateVersion,
                                 WholeMillis(grant.mRefill))
     .Union();
 }
--- a/packages/protocol/src/codec_unpack.cpp
+++ b/packages/protocol/src/codec_unpack.cpp
@@ -255,12 +255,14 @@
   // A phase that a newer peer added is none that takes work.
   const auto phase =
     EnumOf(aWire.phase(), kEnginePhaseNames, EnginePhase::kDown);
-  return { TextOf(aWire.endpoint()), TextOf(aWire.model()),
-           aWire.weights(),          phase,
-           aWire.running(),          aWire.queued(),
-           aWire.is_whole(),         TextsOf(aWire.gained()),
-           TextsOf(aWire.lost()),    WaitingOf(aWire.waiting()),
-           aWire.relays(),           state::EndpointLife(aWire.started_at()) };
+  return {
+    TextOf(aWire.endpoint()), TextOf(aWire.model()),
+    aWire.weights(),          phase,
+    aWire.running(),          aWire.queued(),
+    aWire.is_whole(),         TextsOf(aWire.gained()),
+    TextsOf(aWire.lost()),    WaitingOf(aWire.waiting()),
+    aWire.relays(),           state::EndpointIncarnation(aWire.started_at())
+  };
 }
 
 PartReading
--- a/packages/state/include/shuntjunction/state/admission_queue.h
+++ b/packages/state/include/shuntjunction/state/admission_queue.h
@@ -22,7 +22,7 @@
   std::size_t mMaxQueued = 64; ///< requests that wait, all classes together
   std::size_t mOrdinaryTurn =
     8; ///< one turn in so many goes to the lowest class that waits
-  Millis mFlightWait{ 400 }; ///< longest wait behind a prefix being computed
+  Millis mMaxPrefixWait{ 400 }; ///< longest wait behind a prefix being computed
 };
 
 /// A request that asks for admission.
@@ -75,7 +75,7 @@
   std::vector<AdmissionRefusal> RefuseAll(RefusalReason aReason);
 
   /// Notes that a running request has its first token: its prefix is cached.
-  void FirstToken(std::uint64_t aId);
+  void NoteFirstToken(std::uint64_t aId);
 
   /// Takes a request out, whether it waits or runs.
   void Remove(std::uint64_t aId);
--- a/packages/state/include/shuntjunction/state/claim_machine.h
+++ b/packages/state/include/shuntjunction/state/claim_machine.h
@@ -16,7 +16,7 @@
 {
   std::string mNonce;      ///< of the claimant
   std::string mBodyDigest; ///< SHA-256 of the request
-  std::int64_t mAtMillis = 0;
+  std::int64_t mCreatedAtMillis = 0;
   bool mIsDone = false; ///< the outcome below is recorded
   unsigned mStatus = 0;
   std::string mContentType;
@@ -36,13 +36,13 @@
 /// What the owner of a ClaimMachine is to do next.
 enum class ClaimStep : std::uint8_t
 {
-  kCreate,    ///< create the record, on condition that none exists
-  kReadBack,  ///< read the record
-  kHandOver,  ///< the claim is held: hand the request over, once
-  kReplay,    ///< answer with the recorded outcome
-  kTaken,     ///< another holds the claim and its outcome is not recorded
-  kKeyReused, ///< the key was used with another body
-  kUndecided, ///< refuse, not run; clear up what may have been written
+  kCreate,      ///< create the record, on condition that none exists
+  kReadBack,    ///< read the record
+  kExecute,     ///< the claim is held: hand the request over, once
+  kReplay,      ///< answer with the recorded outcome
+  kHeldByOther, ///< another holds the claim and its outcome is not recorded
+  kKeyReused,   ///< the key was used with another body
+  kUndecided,   ///< refuse, not run; clear up what may have been written
 };
 
 /// Names of ClaimStep.
@@ -63,7 +63,7 @@
 ///     read back --absent--> create again (it is conditional)
 ///     any --out of time--> undecided
 ///
-/// The request is handed over only in kHandOver, which is entered at most
+/// The request is handed over only in kExecute, which is entered at most
 /// once and never left. A create whose answer was lost may still take effect
 /// after kUndecided; nothing was run then, so the record may be deleted.
 /// Thread safety: none; owned by the request.
@@ -79,22 +79,22 @@
   ClaimStep Step() const;
 
   /// Takes the answer to a create.
-  void CreateAnswered(const Result<std::uint64_t>& aRevision);
+  void OnCreateResult(const Result<std::uint64_t>& aRevision);
 
   /// Takes the answer to a read; empty when there is no record.
-  void ReadAnswered(const Result<std::optional<ClaimRecord>>& aRecord);
+  void OnReadResult(const Result<std::optional<ClaimRecord>>& aRecord);
 
   /// No time is left to settle the claim.
-  void OutOfTime();
+  void OnTimeout();
 
   /// Whether a create may have taken effect, now or later.
   bool MayHaveWritten() const;
 
-  /// The other's record, in kReplay, kTaken and kKeyReused.
-  const ClaimRecord& Found() const;
+  /// The other's record, in kReplay, kHeldByOther and kKeyReused.
+  const ClaimRecord& ExistingRecord() const;
 
   /// The record to create.
-  ClaimRecord Own(std::int64_t aNowMillis) const;
+  ClaimRecord NewRecord(std::int64_t aNowMillis) const;
 
 private:
   struct Machine;
--- a/packages/state/include/shuntjunction/state/config_objects.h
+++ b/packages/state/include/shuntjunction/state/config_objects.h
@@ -76,7 +76,7 @@
   std::string mTeam;
   std::string mTemplate;
   std::string mModel;
-  std::vector<std::string> mStarts;     ///< "HH:MM", UTC
+  std::vector<std::string> mStartTimes; ///< "HH:MM", UTC
   std::vector<std::string> mSharedText; ///< texts of the outer prompt levels
   std::int64_t mWarmEndpoints = 1;      ///< endpoints warmed before a start
 };
--- a/packages/state/include/shuntjunction/state/crash_ledger.h
+++ b/packages/state/include/shuntjunction/state/crash_tracker.h
@@ -10,19 +10,19 @@
 /// Which requests endpoints crash under.
 namespace shuntjunction::state {
 
-/// Settings of a CrashLedger.
-struct CrashLedgerSettings
+/// Settings of a CrashTracker.
+struct CrashTrackerSettings
 {
   /// Crashes of endpoints under one request after which it is quarantined. A
   /// request that crashes every endpoint has no better use of a fourth; one
   /// that only ran beside it is seldom there three times.
-  int mMostCrashes = 3;
+  int mQuarantineThreshold = 3;
   /// Reports of one endpoint that differ by less are of one crash: several
   /// relays see it, and an endpoint is back after some seconds at the earliest.
-  Millis mSameCrash{ 2000 };
+  Millis mDuplicateWindow{ 2000 };
   /// A request under which nothing crashed for so long is suspected no more:
   /// callers who come again do so within minutes.
-  Millis mMemory{ std::chrono::minutes(10) };
+  Millis mSuspicionPeriod{ std::chrono::minutes(10) };
   /// How long a quarantined request is refused. A crash costs everybody who
   /// runs there, so that one trial an hour is what a fleet can bear.
   Millis mQuarantine{ std::chrono::hours(1) };
@@ -49,10 +49,10 @@
 /// A request that ends well anywhere is innocent: whatever crashed beside it,
 /// it crashes not every endpoint.
 /// Thread safety: none; owned by one thread.
-class CrashLedger
+class CrashTracker
 {
 public:
-  explicit CrashLedger(const CrashLedgerSettings& aSettings)
+  explicit CrashTracker(const CrashTrackerSettings& aSettings)
     : mSettings(aSettings)
   {
   }
@@ -87,7 +87,7 @@
   std::size_t Suspects() const { return mRequests.size(); }
   std::size_t Quarantined(TimePoint aNow) const;
 
-  const CrashLedgerSettings& Settings() const { return mSettings; }
+  const CrashTrackerSettings& Settings() const { return mSettings; }
 
 private:
   struct Crash
@@ -99,7 +99,8 @@
   /// What is known of one request.
   struct Record
   {
-    std::vector<Crash> mCrashes; ///< the latest of them, at most mMostCrashes
+    std::vector<Crash>
+      mCrashes; ///< the latest of them, at most mQuarantineThreshold
     TimePoint mLatest;
     TimePoint mRefusedUntil;
   };
@@ -108,7 +109,7 @@
   Record& RecordOf(const RequestDigest& aRequest, TimePoint aNow);
   void DropLeast(TimePoint aNow);
 
-  CrashLedgerSettings mSettings;
+  CrashTrackerSettings mSettings;
   std::map<RequestDigest, Record> mRequests;
 };
 
--- a/packages/state/include/shuntjunction/state/descriptor_budget.h
+++ b/packages/state/include/shuntjunction/state/descriptor_budget.h
@@ -32,12 +32,12 @@
   void SetPeers(std::int64_t aPeers) { mPeers = aPeers; }
 
   /// Callers that may be connected at once.
-  std::int64_t MostCallers() const { return Shared() / 2; }
+  std::int64_t MaxCallers() const { return Shared() / 2; }
 
   /// Connections to endpoints that may be open beside so many callers.
-  std::int64_t MostToEndpoints(std::int64_t aCallers) const
+  std::int64_t MaxEndpointConnections(std::int64_t aCallers) const
   {
-    return Shared() - std::min(aCallers, MostCallers());
+    return Shared() - std::min(aCallers, MaxCallers());
   }
 
 private:
--- a/packages/state/include/shuntjunction/state/endpoint_availability.h
+++ b/packages/state/include/shuntjunction/state/endpoint_availability.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "shuntjunction/state/endpoint_life.h"
+#include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/endpoint_notice.h"
 
 /// Whether one relay may send to an endpoint, from all that it knows of it.
@@ -111,7 +111,7 @@
   /// Leave to send a request.
   ///
   /// @pre  ObstacleAtSend gave kNone at aNow
-  SendClearance Clear(TimePoint aNow);
+  SendClearance GrantClearance(TimePoint aNow);
 
   /// Takes how a cleared request went: once, with the head of its answer or
   /// without one.
@@ -144,18 +144,18 @@
 /// while: an entry that lapses and comes back is the same incarnation.
 ///
 /// Thread safety: none; owned by one thread.
-class AvailabilityBook
+class AvailabilityRegistry
 {
 public:
   using Ptr = std::shared_ptr<EndpointAvailability>;
 
-  explicit AvailabilityBook(const AvailabilitySettings& aSettings = {});
+  explicit AvailabilityRegistry(const AvailabilitySettings& aSettings = {});
 
   /// That of an endpoint's incarnation, as it was when it was known before.
-  Ptr Find(const std::string& aId, EndpointLife aLife);
+  Ptr Find(const std::string& aId, EndpointIncarnation aLife);
 
   /// That of an incarnation that took the place of another.
-  Ptr Begin(const std::string& aId, EndpointLife aLife);
+  Ptr Begin(const std::string& aId, EndpointIncarnation aLife);
 
   /// Takes that an endpoint is not listed any more.
   void NoteRemoved(std::string_view aId);
@@ -170,7 +170,7 @@
   struct Entry
   {
     Ptr mAvailability;
-    EndpointLife mLife;
+    EndpointIncarnation mEndpointIncarnation;
     std::uint64_t mRemovedAs = 0; ///< order of removal; 0: it is listed
   };
 
--- a/packages/state/include/shuntjunction/state/endpoint_chooser.h
+++ b/packages/state/include/shuntjunction/state/endpoint_chooser.h
@@ -92,7 +92,7 @@
 
   /// Whether the candidates are to be asked for their cost before one is
   /// taken; otherwise the first is taken.
-  virtual bool AsksFirst(const ChoiceQuery& aQuery) const = 0;
+  virtual bool ProbesFirst(const ChoiceQuery& aQuery) const = 0;
 
   /// Notes that a request of some engine time was sent.
   virtual void NoteSent(const ChoiceQuery& aQuery,
@@ -114,6 +114,6 @@
 /// Engine time until the first token if an endpoint took a request, as far as
 /// is known without asking it.
 std::int64_t
-RememberedWaitMicros(const EndpointEntry& aEntry, TimePoint aNow);
+EstimatedWaitMicros(const EndpointEntry& aEntry, TimePoint aNow);
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/endpoint_directory.h
+++ b/packages/state/include/shuntjunction/state/endpoint_directory.h
@@ -14,13 +14,13 @@
 /// How long after the list's return an entry that it lost is still believed.
 ///
 /// Endpoints that live write their entries again within about two seconds.
-inline constexpr Millis kLapseGrace{ 2000 };
+inline constexpr Millis kExpiredEntryGrace{ 2000 };
 
 /// Keeps the listed endpoints over outages of the list.
 ///
 /// An entry that goes while the list works is gone at once. One that goes
 /// while the list is away, or right after its return, may have lapsed only
-/// because it could not be renewed: it stays until kLapseGrace after the
+/// because it could not be renewed: it stays until kExpiredEntryGrace after the
 /// return.
 /// Thread safety: none; owned by one thread.
 class EndpointDirectory
@@ -29,7 +29,7 @@
   /// Takes the whole list.
   ///
   /// @return whether it brought anything new
-  bool TakeList(const std::vector<EndpointInfo>& aListed, TimePoint aNow);
+  bool MergeList(const std::vector<EndpointInfo>& aListed, TimePoint aNow);
 
   /// Takes a changed or new entry; whether it brought anything new.
   ///
@@ -67,13 +67,13 @@
   std::vector<EndpointInfo> Endpoints() const;
 
   /// Entries that were passed over as written by a former life.
-  std::uint64_t FormerWords() const { return mFormerWords; }
+  std::uint64_t StaleReports() const { return mStaleReports; }
 
 private:
   struct Entry
   {
     EndpointInfo mInfo;
-    LifeTracker mLife;
+    IncarnationTracker mEndpointIncarnation;
     std::optional<EndpointInfo> mFormer; ///< what a former life wrote last
     std::uint64_t mFirstRevision = 0;    ///< of this life
     bool mIsLapsed = false;
@@ -88,7 +88,7 @@
   TimePoint mLastOutage;
   TimePoint mLastWord; ///< the last answer, or failure, of a call
   bool mHadOutage = false;
-  std::uint64_t mFormerWords = 0;
+  std::uint64_t mStaleReports = 0;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/endpoint_life.h
+++ b/packages/state/include/shuntjunction/state/endpoint_incarnation.h
@@ -14,14 +14,14 @@
 /// An endpoint may start again under the id that it had. It then holds and
 /// knows nothing of before: neither cached parts nor requests, orders or
 /// counts.
-class EndpointLife
+class EndpointIncarnation
 {
 public:
   /// A life of which nothing is known, as of endpoints that do not tell.
-  EndpointLife() = default;
+  EndpointIncarnation() = default;
 
   /// @param aStartedAt  Unix time of the start in ms, by the endpoint's clock
-  explicit EndpointLife(std::int64_t aStartedAt)
+  explicit EndpointIncarnation(std::int64_t aStartedAt)
     : mStartedAt(aStartedAt)
   {
   }
@@ -31,7 +31,7 @@
   /// Unix time of the start in ms; 0 when it is not known.
   std::int64_t StartedAt() const { return mStartedAt; }
 
-  auto operator<=>(const EndpointLife&) const = default;
+  auto operator<=>(const EndpointIncarnation&) const = default;
 
 private:
   static constexpr std::int64_t kUnknown = 0;
@@ -40,7 +40,7 @@
 };
 
 /// What a word about a life says beside what is believed.
-enum class LifeWord : std::uint8_t
+enum class IncarnationUpdate : std::uint8_t
 {
   kSame,   ///< the life that is believed, or none in particular
   kNewer,  ///< another life, believed from now on: nothing of before holds
@@ -50,7 +50,7 @@
 /// Time after which an earlier start is believed, if the later one was not
 /// heard of meanwhile. An endpoint that lives writes its entry anew about each
 /// 1.2 s, and its companion speaks each second.
-inline constexpr Millis kFormerLifeGrace{ 3000 };
+inline constexpr Millis kFormerIncarnationGrace{ 3000 };
 
 /// Decides which life of an endpoint is in force.
 ///
@@ -58,26 +58,26 @@
 /// the former life that comes late. But a clock may have run ahead before it
 /// was set right: an earlier start is believed once only that is heard of.
 /// Thread safety: none; owned by one thread.
-class LifeTracker
+class IncarnationTracker
 {
 public:
   /// Takes what a source says, in whatever order its words come.
-  LifeWord Take(EndpointLife aTold, TimePoint aNow);
+  IncarnationUpdate Take(EndpointIncarnation aTold, TimePoint aNow);
 
   /// Takes what the endpoint itself answers to a question: that is its life.
-  LifeWord TakeOwnWord(EndpointLife aTold);
+  IncarnationUpdate TakeSelfReport(EndpointIncarnation aTold);
 
   /// Believes an earlier start whose grace has passed; whether one was.
-  bool Settle(TimePoint aNow);
+  bool PromoteEarlier(TimePoint aNow);
 
   /// The life that is believed.
-  EndpointLife Current() const { return mCurrent; }
+  EndpointIncarnation Current() const { return mCurrent; }
 
 private:
-  void Believe(EndpointLife aLife);
+  void Believe(EndpointIncarnation aLife);
 
-  EndpointLife mCurrent;
-  EndpointLife mEarlier; ///< told since mEarlierSince; unknown: none was
+  EndpointIncarnation mCurrent;
+  EndpointIncarnation mEarlier; ///< told since mEarlierSince; unknown: none was
   TimePoint mEarlierSince;
 };
 
--- a/packages/state/include/shuntjunction/state/endpoint_limits.h
+++ b/packages/state/include/shuntjunction/state/endpoint_limits.h
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "shuntjunction/state/endpoint_life.h"
+#include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/endpoint_rate.h"
-#include "shuntjunction/state/keeper_listings.h"
+#include "shuntjunction/state/share_ownership.h"
 #include "shuntjunction/state/usage_limit.h"
 
 /// Rates that endpoints in need take from all relays together.
@@ -23,13 +23,13 @@
 /// The hash of one life of an endpoint: another life has named nothing yet.
 /// Thread safety: pure.
 LimitHash
-HashOfLife(std::string_view aEndpointId, EndpointLife aLife);
+HashOfIncarnation(std::string_view aEndpointId, EndpointIncarnation aLife);
 
 /// Which endpoint a message is about, and whether its companion is asked.
 struct LimitedEndpoint
 {
   LimitHash mHash = 0;
-  bool mIsBeside = false; ///< the companion that is asked stands beside it
+  bool mIsOnSameHost = false; ///< the companion that is asked stands beside it
 };
 
 /// A relay's question for a place: leave to send one request.
@@ -45,7 +45,7 @@
 {
   bool mIsGiven = false;
   /// What the keeper knew of the rate when it gave the place; see RateReport.
-  std::uint32_t mEdition = 0;
+  std::uint32_t mRateVersion = 0;
   Millis mRefill{ 0 }; ///< until there could be one, if none was given
 };
 
@@ -56,7 +56,7 @@
   EndpointRate mRate;
   /// Of the place with which the answered request was sent. That a rate is
   /// absent ends it only if no answer named one since: answers pass each other.
-  std::uint32_t mEdition = 0;
+  std::uint32_t mRateVersion = 0;
 };
 
 /// What a keeper tells all relays.
@@ -67,7 +67,7 @@
 };
 
 /// What was asked of one rate since that was last told.
-struct RateUse
+struct RateUsage
 {
   LimitHash mEndpoint = 0;
   double mPerSecond = 0;
@@ -81,9 +81,9 @@
   /// The rate by which an endpoint is asked at least, whatever it names: nobody
   /// would hear of the end of a rate at which nothing is sent. Requests a
   /// second.
-  double mLeastRate = 0.25;
+  double mMinRate = 0.25;
   /// A rate above is taken for this one, in requests a second.
-  double mMostRate = 1e6;
+  double mMaxRate = 1e6;
   /// What may be sent at once: so many seconds of the rate, and requests.
   double mBurstSeconds = 1.0;
   double mBurstRequests = 2.0;
@@ -93,7 +93,7 @@
   Millis mForgetAfter{ 60000 };
   std::size_t mMaxEndpoints = 4096;
   /// A relay that asked a companion that is not the keeper asks again then.
-  Millis mElsewherePause{ 500 };
+  Millis mNotOwnerRetryDelay{ 500 };
 };
 
 /// The rates that one companion keeps.
@@ -108,7 +108,7 @@
   /// @param aListings  of companions; outlives this
   /// @param aFirstEdition  drawn anew for each process
   EndpointLimits(const EndpointLimitsSettings& aSettings,
-                 KeeperListings& aListings,
+                 ShareOwnership& aListings,
                  std::uint32_t aFirstEdition);
 
   /// Takes what an endpoint's answer said; what all relays shall hear of it.
@@ -121,27 +121,27 @@
   void GiveBack(LimitHash aEndpoint);
 
   /// Forgets rates that another companion keeps by the newest list.
-  void ForgetOthers();
+  void ForgetUnowned();
 
   /// What is known, for a relay that connects.
   std::vector<RateNews> Known() const;
 
   /// What was asked of each rate since the last call, if anything was.
-  std::vector<RateUse> TakeUses();
+  std::vector<RateUsage> CollectUsage();
 
 private:
   struct Limited
   {
     UsageBucket mBucket;
-    std::uint32_t mEdition = 0;
+    std::uint32_t mRateVersion = 0;
     double mNamed = 0;
-    bool mIsBeside = false;
+    bool mIsOnSameHost = false;
     TimePoint mHeardAt;
     std::uint64_t mGiven = 0; ///< since that was last told
     std::uint64_t mDenied = 0;
   };
 
-  bool IsMine(const LimitedEndpoint& aEndpoint, TimePoint aNow);
+  bool IsOwner(const LimitedEndpoint& aEndpoint, TimePoint aNow);
   UsageLimit LimitOf(double aPerSecond) const;
   Limited& Find(const LimitedEndpoint& aEndpoint,
                 double aPerSecond,
@@ -149,8 +149,8 @@
   void ForgetSilent(TimePoint aNow);
 
   EndpointLimitsSettings mSettings;
-  KeeperListings& mListings;
-  std::uint32_t mEdition;
+  ShareOwnership& mOwnership;
+  std::uint32_t mRateVersion;
   std::map<LimitHash, Limited> mLimited;
 };
 
--- a/packages/state/include/shuntjunction/state/endpoint_silence.h
+++ b/packages/state/include/shuntjunction/state/endpoint_silence.h
@@ -10,24 +10,26 @@
 {
   /// Bytes of the endpoint itself that are younger prove that it works,
   /// whatever its companion does.
-  Millis mBytesProve{ 600 };
+  Millis mRecentBytes{ 600 };
   /// Companions speak once a second; one that is late by more is silent.
-  Millis mWordAlone{ 1300 };
+  Millis mCompanionTimeout{ 1300 };
   /// The same beside an endpoint that is silent too while a request waits
   /// there.
-  Millis mWordBesideBytes{ 600 };
+  Millis mCompanionTimeoutIfPending{ 600 };
   /// Longer than an endpoint under load leaves all its answers without bytes.
-  Millis mBytesAwaited{ 800 };
+  Millis mBytesTimeout{ 800 };
 };
 
 /// What was heard of an endpoint and of its companion.
-struct LifeSigns
+struct LivenessSignals
 {
-  bool mHasWord = false;     ///< its companion said anything yet
-  Millis mSinceWord{ 0 };    ///< since its companion's last word
-  bool mIsWordEnded = false; ///< its companion's connection was ended there
-  bool mIsAwaited = false;   ///< a request waits for bytes of the endpoint
-  Millis mSinceBytes{ 0 };   ///< since its last bytes, or since one waits
+  bool mHasCompanionMessage = false;  ///< its companion said anything yet
+  Millis mSinceCompanionMessage{ 0 }; ///< since its companion's last word
+  bool mIsCompanionClosed =
+    false; ///< its companion's connection was ended there
+  bool mHasPendingRequest =
+    false; ///< a request waits for bytes of the endpoint
+  Millis mSinceEndpointBytes{ 0 }; ///< since its last bytes, or since one waits
 };
 
 /// Whether neither an endpoint nor its companion shows that their machine runs.
@@ -37,18 +39,21 @@
 /// companion alone that ended leaves its endpoint working, and its machine says
 /// so by ending the connection. Thread safety: pure.
 inline bool
-IsSilent(const LifeSigns& aSigns, const SilenceSettings& aSettings = {})
+IsSilent(const LivenessSignals& aSigns, const SilenceSettings& aSettings = {})
 {
-  if (!aSigns.mHasWord || aSigns.mIsWordEnded) {
+  if (!aSigns.mHasCompanionMessage || aSigns.mIsCompanionClosed) {
     return false;
   }
-  if (aSigns.mIsAwaited && aSigns.mSinceBytes < aSettings.mBytesProve) {
+  if (aSigns.mHasPendingRequest &&
+      aSigns.mSinceEndpointBytes < aSettings.mRecentBytes) {
     return false;
   }
   const bool isAwaitedInVain =
-    aSigns.mIsAwaited && aSigns.mSinceBytes >= aSettings.mBytesAwaited;
-  return aSigns.mSinceWord >= aSettings.mWordAlone ||
-         (isAwaitedInVain && aSigns.mSinceWord >= aSettings.mWordBesideBytes);
+    aSigns.mHasPendingRequest &&
+    aSigns.mSinceEndpointBytes >= aSettings.mBytesTimeout;
+  return aSigns.mSinceCompanionMessage >= aSettings.mCompanionTimeout ||
+         (isAwaitedInVain && aSigns.mSinceCompanionMessage >=
+                               aSettings.mCompanionTimeoutIfPending);
 }
 
 /// Whether a machine has stopped under the requests that wait there: both the
@@ -57,11 +62,12 @@
 /// Stricter than IsSilent: a request that is moved is read again elsewhere.
 /// Thread safety: pure.
 inline bool
-HasStopped(const LifeSigns& aSigns, const SilenceSettings& aSettings = {})
+HasStopped(const LivenessSignals& aSigns, const SilenceSettings& aSettings = {})
 {
-  return aSigns.mHasWord && !aSigns.mIsWordEnded && aSigns.mIsAwaited &&
-         aSigns.mSinceBytes >= aSettings.mBytesAwaited &&
-         aSigns.mSinceWord >= aSettings.mWordAlone;
+  return aSigns.mHasCompanionMessage && !aSigns.mIsCompanionClosed &&
+         aSigns.mHasPendingRequest &&
+         aSigns.mSinceEndpointBytes >= aSettings.mBytesTimeout &&
+         aSigns.mSinceCompanionMessage >= aSettings.mCompanionTimeout;
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/endpoint_table.h
+++ b/packages/state/include/shuntjunction/state/endpoint_table.h
@@ -47,7 +47,7 @@
   EndpointHealth mHealth;
   EndpointLoad mLoad;
   std::int64_t mSentMicros = 0; ///< work sent there since mLoad was heard
-  TimePoint mSaidLeavingAt;     ///< when its companion said so; epoch: never
+  TimePoint mReportedLeavingAt; ///< when its companion said so; epoch: never
   bool mIsListed = false;       ///< stands in the platform's list
 };
 
@@ -60,7 +60,7 @@
 
 /// How long an endpoint's word that it leaves holds against a list that still
 /// calls it live; then it is asked again.
-inline constexpr Millis kLeavingMemory{ 30000 };
+inline constexpr Millis kReportedLeavingTtl{ 30000 };
 
 /// All endpoints, by handle and by what they serve.
 ///
@@ -106,7 +106,7 @@
   void NoteLeaving(EndpointHandle aHandle, TimePoint aNow);
 
   /// Notes that a new connection to a companion was opened.
-  void NoteOpen(EndpointHandle aHandle);
+  void NoteReconnected(EndpointHandle aHandle);
 
   /// All entries, gone ones included (mIsListed is false).
   const std::vector<EndpointEntry>& Entries() const { return mEntries; }
--- a/packages/state/include/shuntjunction/state/first_token.h
+++ b/packages/state/include/shuntjunction/state/first_token.h
@@ -15,8 +15,8 @@
   /// requests count as late, which matters where others wait, and there it is
   /// learned within a second.
   double mStartRate = 20.0;
-  double mLeastRate = 1.0;     ///< what is observed is bounded by these
-  double mMostRate = 1000.0;   ///< tokens a millisecond
+  double mMinRate = 1.0;       ///< what is observed is bounded by these
+  double mMaxRate = 1000.0;    ///< tokens a millisecond
   double mLearningShare = 0.1; ///< weight of a new observation
   /// Shorter prompts take as long as a step of the engine does, whatever they
   /// hold.
@@ -32,10 +32,10 @@
 /// How fast engines read prompts, learned from the requests that they served.
 ///
 /// Thread safety: none.
-class ReadingRate
+class PrefillRate
 {
 public:
-  explicit ReadingRate(const FirstTokenSettings& aSettings);
+  explicit PrefillRate(const FirstTokenSettings& aSettings);
 
   /// Notes an answer's first token.
   ///
@@ -70,6 +70,7 @@
 /// that can still meet it, and are served by what these leave over.
 /// Thread safety: pure.
 int
-UrgencyToSend(const FirstTokenAsk& aAsk, const FirstTokenSettings& aSettings);
+EffectiveUrgency(const FirstTokenAsk& aAsk,
+                 const FirstTokenSettings& aSettings);
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/freshness.h
+++ b/packages/state/include/shuntjunction/state/freshness.h
@@ -45,7 +45,7 @@
   /// The answer was given after the question was asked. So the confirmation is
   /// no older than its age was at the question, however long either process
   /// stood still and however long the answer was on its way.
-  void ConfirmSecondHand(TimePoint aAskedAt, Millis aToldAge)
+  void ConfirmFromPeer(TimePoint aAskedAt, Millis aToldAge)
   {
     Confirm(aAskedAt - aToldAge);
   }
--- a/packages/state/include/shuntjunction/state/spread_pause.h
+++ b/packages/state/include/shuntjunction/state/jittered_pause.h
@@ -12,7 +12,7 @@
 ///
 /// Thread safety: pure but for aRandom.
 inline Millis
-SpreadPause(Millis aPause, RandomSource& aRandom)
+JitteredPause(Millis aPause, RandomSource& aRandom)
 {
   std::uniform_int_distribution<std::int64_t> spread(aPause.count() / 2,
                                                      aPause.count());
--- a/packages/state/include/shuntjunction/state/json_reader.h
+++ b/packages/state/include/shuntjunction/state/json_reader.h
@@ -26,7 +26,7 @@
 ///
 /// Thread safety: pure.
 Result<boost::json::value>
-ParseForeignJson(std::string_view aText, std::string_view aWhat);
+ParseUntrustedJson(std::string_view aText, std::string_view aWhat);
 
 /// Reads the members of one object and remembers the first error.
 ///
@@ -76,7 +76,7 @@
     const std::string text = Text(aKey, fallback);
     const auto value = aNames.Parse(text);
     if (!value) {
-      Note(aKey, "\"" + text + "\"", "one of " + aNames.Allowed());
+      AddError(aKey, "\"" + text + "\"", "one of " + aNames.Allowed());
     }
     return value.value_or(Enum{});
   }
@@ -85,15 +85,15 @@
   const boost::json::value* Find(std::string_view aKey);
 
   /// Notes an error of a key.
-  void Note(std::string_view aKey,
-            std::string_view aFound,
-            std::string_view aAllowed);
+  void AddError(std::string_view aKey,
+                std::string_view aFound,
+                std::string_view aAllowed);
 
   /// Takes over the error of a nested reader, if it has one.
   void Merge(const Result<void>& aNested);
 
   /// Where a key stands, as errors name it.
-  std::string Where(std::string_view aKey) const;
+  std::string KeyPath(std::string_view aKey) const;
 
   /// The first error, or success; refuses unknown keys.
   Result<void> Finish();
@@ -118,7 +118,7 @@
 {
   const auto* list = aReader.Find(aKey);
   if (list == nullptr || !list->is_array()) {
-    aReader.Note(aKey, "absent", "a list of objects");
+    aReader.AddError(aKey, "absent", "a list of objects");
     return;
   }
   for (const auto& item : list->as_array()) {
--- a/packages/state/include/shuntjunction/state/late_queue.h
+++ b/packages/state/include/shuntjunction/state/late_requests.h
@@ -7,8 +7,8 @@
 /// Requests that wait behind all others, and whether one more shall join them.
 namespace shuntjunction::state {
 
-/// Settings of LateQueue.
-struct LateQueueSettings
+/// Settings of LateRequests.
+struct LateRequestsSettings
 {
   /// Share of the objective that the longest waiting may have waited so far for
   /// another to join: beyond it, what comes in time takes all that is read.
@@ -27,10 +27,10 @@
 /// no more. Refused at once, it can.
 ///
 /// Thread safety: none.
-class LateQueue
+class LateRequests
 {
 public:
-  explicit LateQueue(const LateQueueSettings& aSettings = {});
+  explicit LateRequests(const LateRequestsSettings& aSettings = {});
 
   void Add(TimePoint aSentAt);
 
@@ -38,16 +38,16 @@
   void Remove(TimePoint aSentAt);
 
   /// Whether another would wait in vain.
-  bool IsStuck(TimePoint aNow, Millis aObjective) const;
+  bool IsStalled(TimePoint aNow, Millis aObjective) const;
 
   /// When a refused caller shall come back.
   ///
   /// @param aExpected  when what waits now is read
   /// @param aDraw  0 to 1
-  Millis ReturnAfter(Millis aExpected, double aDraw) const;
+  Millis RetryDelay(Millis aExpected, double aDraw) const;
 
 private:
-  LateQueueSettings mSettings;
+  LateRequestsSettings mSettings;
   std::multiset<TimePoint> mSent;
 };
 
--- a/packages/state/include/shuntjunction/state/limit_shares.h
+++ b/packages/state/include/shuntjunction/state/limit_shares.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "shuntjunction/state/keeper_listings.h"
+#include "shuntjunction/state/share_ownership.h"
 #include "shuntjunction/state/usage_limit.h"
 
 /// A team's limit over all relays: cut into shares, each kept by one companion.
@@ -25,11 +25,11 @@
 
 /// Shares of each limit. A team that uses up to three quarters of its limit
 /// notices the loss of one companion in nothing.
-inline constexpr std::size_t kSharesOfLimit = 4;
+inline constexpr std::size_t kSharesPerLimit = 4;
 
 /// Most that one request counts, in a limit's unit: no prompt and answer are
 /// longer.
-inline constexpr std::uint32_t kMostUsage = 100'000'000;
+inline constexpr std::uint32_t kMaxUsage = 100'000'000;
 
 /// Names a team where bytes are scarce.
 using TeamHash = LimitHash;
@@ -54,10 +54,10 @@
   Millis mRefill{ 0 };       ///< until the rest could be given
 };
 
-/// Settings of a ShareKeeper.
-struct ShareKeeperSettings
+/// Settings of a LimitShares.
+struct LimitSharesSettings
 {
-  KeeperListingsSettings mListings;
+  ShareOwnershipSettings mOwnership;
   /// Added to a limit's burst: half of what the operator tolerates beyond it.
   /// The other half is for the time between a grant and a request's arrival.
   double mBurstTolerance = 0;
@@ -68,11 +68,11 @@
 /// A companion's shares of the teams' limits.
 ///
 /// Thread safety: none; owned by one thread.
-class ShareKeeper
+class LimitShares
 {
 public:
   /// @param aOwnHost  of this companion, as lists name it
-  ShareKeeper(const ShareKeeperSettings& aSettings, std::string aOwnHost);
+  LimitShares(const LimitSharesSettings& aSettings, std::string aOwnHost);
 
   /// Takes the companions that are listed now; whether that is news.
   bool SetHosts(std::vector<std::string> aHosts, TimePoint aNow);
@@ -84,7 +84,7 @@
   void GiveBack(const ShareKey& aKey, std::uint32_t aAmount);
 
   /// The lists of companions, which other keepers of limits share.
-  KeeperListings& Listings() { return mListings; }
+  ShareOwnership& Ownership() { return mOwnership; }
 
   /// Shares that were asked for lately.
   std::size_t Buckets() const { return mBuckets.size(); }
@@ -100,8 +100,8 @@
   Share& ShareOf(const ShareAsk& aAsk, TimePoint aNow);
   void ForgetFull(TimePoint aNow);
 
-  ShareKeeperSettings mSettings;
-  KeeperListings mListings;
+  LimitSharesSettings mSettings;
+  ShareOwnership mOwnership;
   std::map<ShareKey, Share> mBuckets;
 };
 
@@ -113,10 +113,10 @@
 };
 
 /// The companion that keeps an endpoint's rate.
-struct RateKeeper
+struct RateOwner
 {
   std::string mHost;
-  bool mIsBeside = false; ///< it stands beside the endpoint
+  bool mIsOnSameHost = false; ///< it stands beside the endpoint
 };
 
 /// Why a relay leaves a share out.
@@ -148,12 +148,12 @@
 
   /// The companion that keeps the rate of an endpoint: the one on its host, if
   /// there is one. Empty while no companion is known.
-  std::optional<RateKeeper> KeeperOfEndpoint(const std::string& aEndpointHost,
-                                             LimitHash aEndpoint) const;
+  std::optional<RateOwner> OwnerOfEndpoint(const std::string& aEndpointHost,
+                                           LimitHash aEndpoint) const;
 
   /// Leaves a share out for some time: a team that is over its limit would
   /// otherwise cost questions for each of its requests.
-  void Close(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil);
+  void Exclude(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil);
 
   /// Whether a share is left out, and why.
   ShareState StateOf(const ShareKey& aKey, TimePoint aNow) const;
@@ -162,7 +162,7 @@
   std::uint64_t mSeed;
   std::vector<std::string> mHosts;
   std::map<std::string, std::string> mZoneByHost;
-  std::unordered_map<TeamHash, std::array<std::size_t, kSharesOfLimit>>
+  std::unordered_map<TeamHash, std::array<std::size_t, kSharesPerLimit>>
     mKeepers; ///< indices of mHosts; of the teams that were looked up
   /// A share that is left out.
   struct Closed
--- a/packages/state/include/shuntjunction/state/list_freshness.h
+++ b/packages/state/include/shuntjunction/state/list_freshness.h
@@ -20,13 +20,13 @@
 {
 public:
   /// Takes an answer about the list: it is known up to a revision.
-  void TakeOwn(std::uint64_t aRevision, TimePoint aAskedAt);
+  void NoteListRevision(std::uint64_t aRevision, TimePoint aAskedAt);
 
   /// Takes a change of other objects: at its revision the list did not change.
-  void TakeOther(std::uint64_t aRevision);
+  void NoteOtherRevision(std::uint64_t aRevision);
 
   /// Takes the store's revision from an answer about any objects.
-  void TakeStore(std::uint64_t aRevision, TimePoint aAskedAt);
+  void NoteStoreRevision(std::uint64_t aRevision, TimePoint aAskedAt);
 
   /// Whether the store has changes that the list has not been told of; they
   /// need not be the list's.
--- a/packages/state/include/shuntjunction/state/object_mirror.h
+++ b/packages/state/include/shuntjunction/state/object_mirror.h
@@ -20,40 +20,40 @@
 /// How far the objects below a prefix are known.
 struct MirroredTopic
 {
-  std::uint64_t mKnown = 0; ///< revision up to which they are known
+  std::uint64_t mKnownRevision = 0; ///< revision up to which they are known
   std::uint64_t mSince = 0; ///< revision from which every change is kept
   TimePoint mAsOf; ///< all that the platform knew by then is known here
 };
 
 /// What a mirror tells of a topic.
-struct TopicWord
+struct TopicStatus
 {
   std::string mPrefix;
-  std::uint64_t mKnown = 0;
+  std::uint64_t mKnownRevision = 0;
   Millis mAge{ 0 }; ///< of what is known, when it was told
 };
 
 /// What a mirror tells: all its objects, or what changed since it told before.
-struct MirrorPage
+struct MirrorUpdate
 {
   std::uint64_t mEpoch = 0;    ///< of the mirror; others count otherwise
   std::uint64_t mSequence = 0; ///< to ask from next
   bool mIsWhole = false;
   std::optional<Millis> mTroubleAge; ///< since the platform failed it last
-  std::vector<TopicWord> mTopics;
+  std::vector<TopicStatus> mTopics;
   std::vector<RawObject> mChanges; ///< deleted ones have no value
 
   /// What it tells of a prefix; null when nothing.
-  const TopicWord* Topic(std::string_view aPrefix) const;
+  const TopicStatus* Topic(std::string_view aPrefix) const;
 };
 
 /// A page as JSON text, and back.
 ///
 /// Thread safety: pure.
 std::string
-WriteMirrorPage(const MirrorPage& aPage);
-Result<MirrorPage>
-ReadMirrorPage(std::string_view aText, std::string_view aPeer);
+WriteMirrorUpdate(const MirrorUpdate& aPage);
+Result<MirrorUpdate>
+ReadMirrorUpdate(std::string_view aText, std::string_view aPeer);
 
 /// Keeps objects with their latest changes, for watches and for other mirrors.
 ///
@@ -65,35 +65,35 @@
   explicit ObjectMirror(std::uint64_t aEpoch);
 
   /// Takes all objects below a prefix, as of a revision.
-  void TakeList(std::string_view aPrefix,
-                std::uint64_t aRevision,
-                const std::vector<RawObject>& aObjects,
-                TimePoint aNow);
+  void MergeList(std::string_view aPrefix,
+                 std::uint64_t aRevision,
+                 const std::vector<RawObject>& aObjects,
+                 TimePoint aNow);
 
   /// Takes a changed object; one that is older than what is known changes
   /// nothing.
-  void TakeChange(const RawObject& aObject, TimePoint aNow);
+  void MergeChange(const RawObject& aObject, TimePoint aNow);
 
   /// Notes how far the objects below a prefix are known.
-  void NoteTopic(std::string_view aPrefix,
-                 std::uint64_t aKnown,
-                 TimePoint aAsOf);
+  void UpdateTopic(std::string_view aPrefix,
+                   std::uint64_t aKnown,
+                   TimePoint aAsOf);
 
   /// Notes that the platform failed this process.
-  void NoteTrouble(TimePoint aAt) { mTroubleAt = aAt; }
+  void NotePlatformFailure(TimePoint aAt) { mTroubleAt = aAt; }
 
   /// When the platform failed it last; empty: never.
-  std::optional<TimePoint> TroubleAt() const { return mTroubleAt; }
+  std::optional<TimePoint> LastPlatformFailure() const { return mTroubleAt; }
 
   /// What another mirror lacks that was told up to a sequence of an epoch.
-  MirrorPage PageSince(std::uint64_t aEpoch,
-                       std::uint64_t aSequence,
-                       TimePoint aNow) const;
+  MirrorUpdate UpdateSince(std::uint64_t aEpoch,
+                           std::uint64_t aSequence,
+                           TimePoint aNow) const;
 
   /// Takes the answer of another mirror to a question.
   ///
   /// @param aAskedAt  when the question was asked
-  void Apply(const MirrorPage& aPage, TimePoint aAskedAt, TimePoint aNow);
+  void Apply(const MirrorUpdate& aPage, TimePoint aAskedAt, TimePoint aNow);
 
   /// How far a prefix is known; null when nothing is.
   const MirroredTopic* Topic(std::string_view aPrefix) const;
--- a/packages/state/include/shuntjunction/state/order_machine.h
+++ b/packages/state/include/shuntjunction/state/order_machine.h
@@ -21,7 +21,7 @@
 };
 
 /// A record and its revision in the platform.
-struct HeldFence
+struct StoredFence
 {
   FenceRecord mRecord;
   std::uint64_t mRevision = 0; ///< zero when there is no record
@@ -36,13 +36,13 @@
 /// What the owner of an OrderMachine is to do next.
 enum class OrderStep : std::uint8_t
 {
-  kReadFence, ///< read the record
-  kTakeFence, ///< write Next(), on condition of Revision()
-  kDrain,     ///< take no new work and wait for what runs
-  kLookAgain, ///< read the record once more
-  kOrder,     ///< give the order, with Fence()
-  kOver,      ///< the order was answered, or its answer was lost
-  kLost,      ///< another holds the number, or nobody can say: no order
+  kReadFence,    ///< read the record
+  kAcquireFence, ///< write Next(), on condition of Revision()
+  kDrain,        ///< take no new work and wait for what runs
+  kRecheckFence, ///< read the record once more
+  kSendOrder,    ///< give the order, with Fence()
+  kCompleted,    ///< the order was answered, or its answer was lost
+  kLost,         ///< another holds the number, or nobody can say: no order
 };
 
 /// Names of OrderStep.
@@ -81,22 +81,22 @@
   /// What to do now.
   OrderStep Step() const;
 
-  /// Takes the answer to a read, in kReadFence and kLookAgain.
-  void FenceRead(const Result<HeldFence>& aFound);
+  /// Takes the answer to a read, in kReadFence and kRecheckFence.
+  void OnFenceRead(const Result<StoredFence>& aFound);
 
   /// Takes the answer to the write.
-  void FenceWritten(const Result<std::uint64_t>& aRevision);
+  void OnFenceWritten(const Result<std::uint64_t>& aRevision);
 
   /// Nothing runs any more, or the time for it is over.
-  void Drained();
+  void OnDrained();
 
   /// The order was answered, or its answer was lost.
-  void Ordered();
+  void OnOrderSent();
 
-  /// The record to write, in kTakeFence.
+  /// The record to write, in kAcquireFence.
   FenceRecord Next() const;
 
-  /// Revision that the write depends on, in kTakeFence.
+  /// Revision that the write depends on, in kAcquireFence.
   std::uint64_t Revision() const;
 
   /// The number held, from kDrain on.
--- a/packages/state/include/shuntjunction/state/overload_guard.h
+++ b/packages/state/include/shuntjunction/state/overload_guard.h
@@ -8,7 +8,7 @@
 /// Settings of an OverloadGuard.
 struct OverloadSettings
 {
-  Millis mTick{ 20 }; ///< between two looks at how late the process is
+  Millis mCheckInterval{ 20 }; ///< between two looks at how late the process is
   /// A look that comes so late found work before it that callers wait for: half
   /// of the shortest objectives. A machine that pauses for the rest of a tenth
   /// of a second, as some quotas do, is not that late.
@@ -35,7 +35,7 @@
   }
 
   /// Takes by how much a look came late.
-  void NoteLook(Millis aDelay)
+  void NoteTimerDelay(Millis aDelay)
   {
     if (aDelay >= mSettings.mLate) {
       ++mLateLooks;
--- a/packages/state/include/shuntjunction/state/part_index.h
+++ b/packages/state/include/shuntjunction/state/part_index.h
@@ -40,7 +40,7 @@
   bool Holds(std::string_view aHolder, const std::string& aPart) const;
 
   /// Whether anybody keeps a part.
-  bool IsKept(const std::string& aPart) const
+  bool HasHolder(const std::string& aPart) const
   {
     return mByPart.contains(aPart);
   }
--- a/packages/state/include/shuntjunction/state/part_ledger.h
+++ b/packages/state/include/shuntjunction/state/part_record_table.h
@@ -15,22 +15,23 @@
 /// What is known of one part under one salt.
 struct PartRecord
 {
-  TimePoint mServedAt;    ///< when its answer began; epoch while none did
-  TimePoint mReadingFrom; ///< since when it is being read; epoch: it is not
-  TimePoint mSavedAt;     ///< when it was last handed to the part store
-  std::string mReader;    ///< id of the endpoint that reads it, or did
+  TimePoint mServedAt; ///< when its answer began; epoch while none did
+  TimePoint
+    mPrefillStartedAt; ///< since when it is being read; epoch: it is not
+  TimePoint mSavedAt;  ///< when it was last handed to the part store
+  std::string mPrefillEndpoint; ///< id of the endpoint that reads it, or did
 
   /// Whether it was begun to be read and no answer has begun since.
-  bool IsBeingRead() const { return mServedAt < mReadingFrom; }
+  bool IsPrefilling() const { return mServedAt < mPrefillStartedAt; }
 };
 
 /// Remembers parts, the least recently used forgotten first.
 ///
 /// Thread safety: none; owned by one thread.
-class PartLedger
+class PartRecordTable
 {
 public:
-  explicit PartLedger(std::size_t aMaxRecords)
+  explicit PartRecordTable(std::size_t aMaxRecords)
     : mMaxRecords(aMaxRecords)
   {
   }
@@ -39,7 +40,7 @@
   PartRecord& At(std::string aName);
 
   /// Takes that an endpoint reads nothing any more: its life is over.
-  void ForgetReader(std::string_view aEndpoint);
+  void ForgetPrefillsOf(std::string_view aEndpoint);
 
   /// Records that are kept.
   std::size_t Size() const { return mOrder.size(); }
--- a/packages/state/include/shuntjunction/state/recent_changes.h
+++ b/packages/state/include/shuntjunction/state/recent_changes.h
@@ -65,7 +65,7 @@
   /// Text for a peer that has a version; empty where these changes do not
   /// reach back so far, or where it is not of this epoch. Zero asks for the
   /// whole, which changes never are.
-  std::string TextSince(std::uint64_t aEpoch, std::uint64_t aHave) const;
+  std::string SerializeSince(std::uint64_t aEpoch, std::uint64_t aHave) const;
 
 private:
   ConfigChanges mKept;
--- a/packages/state/include/shuntjunction/state/relay_choice.h
+++ b/packages/state/include/shuntjunction/state/relay_choice.h
@@ -31,7 +31,8 @@
   std::int64_t mSlots = 1;    ///< that it works on at once
   std::int64_t mQueuedTokens = 0; ///< prompt tokens that wait to be read there
   bool mHoldsPart = false;        ///< keeps the prompt's last shared part
-  std::int64_t mSuspects = 0;     ///< requests there under which others crashed
+  std::int64_t mSuspectRequests =
+    0; ///< requests there under which others crashed
 };
 
 /// Settings of the choice.
@@ -105,9 +106,9 @@
 /// @return index of aCandidates; empty when there are none
 /// Thread safety: pure.
 std::optional<std::size_t>
-ChooseApart(std::span<const RelayCandidate> aCandidates,
-            std::uint64_t aKey,
-            const RelayChoiceSettings& aSettings);
+ChooseForSuspect(std::span<const RelayCandidate> aCandidates,
+                 std::uint64_t aKey,
+                 const RelayChoiceSettings& aSettings);
 
 /// The part store to which an engine saves a part: one of its own zone, since a
 /// move between zones holds up the store's link for twice as long; among
@@ -120,8 +121,8 @@
 /// @param aZone  of the engine; where it has no store, all are as good
 /// @return null when there is no store
 /// Thread safety: pure.
-const PartStoreRule*
-StoreOfPart(std::span<const PartStoreRule> aStores,
+const KvStoreRule*
+StoreOfPart(std::span<const KvStoreRule> aStores,
             std::string_view aPartName,
             std::string_view aZone);
 
--- a/packages/state/include/shuntjunction/state/relay_config.h
+++ b/packages/state/include/shuntjunction/state/relay_config.h
@@ -11,7 +11,7 @@
 
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/enum_names.h"
-#include "shuntjunction/state/endpoint_life.h"
+#include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/usage_limit.h"
 
 /// What a relay is told to do: routes, teams, services and limits.
@@ -69,7 +69,7 @@
   bool mIsIsolated = false;    ///< shares no cached part with other teams
   UsageLimit mLimit;           ///< over all relays
   UsageUnit mUnit = UsageUnit::kRequests; ///< of the limit
-  std::int64_t mPlainUsage = 1; ///< tokens of a request that names none
+  std::int64_t mDefaultUsage = 1; ///< tokens of a request that names none
 };
 
 /// What the engines of a service have in common.
@@ -89,7 +89,7 @@
 };
 
 /// A store that keeps cached parts beside the engines.
-struct PartStoreRule
+struct KvStoreRule
 {
   std::string mName;
   std::string mAddress; ///< "host:port"
@@ -112,7 +112,7 @@
   std::uint64_t mVersion = 0; ///< rises with each change
   std::vector<RouteRule> mRoutes;
   std::vector<ServiceRule> mServices;
-  std::vector<PartStoreRule> mPartStores;
+  std::vector<KvStoreRule> mKvStores;
   CallerLimits mLimits;
   std::vector<TeamRule> mTeams;
   bool mHasTeams = false; ///< false: no request needs a key
@@ -168,14 +168,15 @@
 /// An endpoint as it is listed.
 struct EndpointInfo
 {
-  std::string mId; ///< a restart has another, or the same and another mLife
+  std::string mId; ///< a restart has another, or the same and another
+                   ///< mEndpointIncarnation
   std::string mService;
   std::string mAddress; ///< "host:port"
   std::string mZone;
   std::int64_t mSlots = 1;
   bool mIsLeaving = false;
   std::vector<LoadedModel> mModels;
-  EndpointLife mLife;
+  EndpointIncarnation mEndpointIncarnation;
   std::uint64_t mRevision = 0; ///< of the platform, at its last change
 
   bool operator==(const EndpointInfo&) const = default;
@@ -185,7 +186,7 @@
 };
 
 /// The newest weights named for a model.
-struct NamedWeights
+struct LatestWeights
 {
   std::string mModel;
   std::uint64_t mVersion = 0;
--- a/packages/state/include/shuntjunction/state/request_life.h
+++ b/packages/state/include/shuntjunction/state/request_lifecycle.h
@@ -46,13 +46,13 @@
 /// Once a request was uncertain it is never said to be not run, whatever a
 /// later attempt's refusal says.
 /// Thread safety: none; owned by the request.
-class RequestLife
+class RequestLifecycle
 {
 public:
-  explicit RequestLife(Repeatability aRepeatability);
-  ~RequestLife();
-  RequestLife(const RequestLife&) = delete;
-  RequestLife& operator=(const RequestLife&) = delete;
+  explicit RequestLifecycle(Repeatability aRepeatability);
+  ~RequestLifecycle();
+  RequestLifecycle(const RequestLifecycle&) = delete;
+  RequestLifecycle& operator=(const RequestLifecycle&) = delete;
 
   /// The request was sent to a companion.
   void Offered();
--- a/packages/state/include/shuntjunction/state/return_schedule.h
+++ b/packages/state/include/shuntjunction/state/retry_schedule.h
@@ -13,7 +13,7 @@
 /// refused again.
 ///
 /// Thread safety: none.
-class ReturnSchedule
+class RetrySchedule
 {
 public:
   /// Takes the next free time.
--- a/packages/state/include/shuntjunction/state/keeper_listings.h
+++ b/packages/state/include/shuntjunction/state/share_ownership.h
@@ -33,10 +33,10 @@
 /// @pre  aHosts is not empty
 /// Thread safety: pure.
 std::size_t
-KeeperOfShare(const std::vector<std::string>& aHosts, const ShareKey& aKey);
+OwnerOfShare(const std::vector<std::string>& aHosts, const ShareKey& aKey);
 
-/// Settings of KeeperListings.
-struct KeeperListingsSettings
+/// Settings of ShareOwnership.
+struct ShareOwnershipSettings
 {
   /// Before a share that came from another companion is given from: so long may
   /// relays believe in a list in which the other still keeps it.
@@ -45,7 +45,7 @@
   /// without a handover: engines that started with it are listed one after the
   /// other, and after a return of everything all teams would wait for the last
   /// of them.
-  Millis mSettling{ 2000 };
+  Millis mStartupWindow{ 2000 };
   /// Shares whose keeper is remembered for each list.
   std::size_t mMaxShares = 16384;
 };
@@ -54,28 +54,28 @@
 /// them.
 ///
 /// Thread safety: none; owned by one thread.
-class KeeperListings
+class ShareOwnership
 {
 public:
   /// @param aOwnHost  of this companion, as lists name it
-  KeeperListings(const KeeperListingsSettings& aSettings, std::string aOwnHost);
+  ShareOwnership(const ShareOwnershipSettings& aSettings, std::string aOwnHost);
 
   /// Takes the companions that are listed now; whether that is news.
   bool SetHosts(std::vector<std::string> aHosts, TimePoint aNow);
 
   /// Whether this companion has kept a share for so long that nobody asks
   /// another for it.
-  bool IsMine(const ShareKey& aKey, TimePoint aNow);
+  bool IsOwner(const ShareKey& aKey, TimePoint aNow);
 
   /// Whether it keeps a share by the newest list.
   ///
   /// @pre  a list is known
-  bool IsMineInNewest(const ShareKey& aKey);
+  bool IsOwnerInNewest(const ShareKey& aKey);
 
   /// Since when it may have kept the shares that are its own.
   ///
-  /// @pre  IsMine was true of one of them
-  TimePoint KeptSince() const;
+  /// @pre  IsOwner was true of one of them
+  TimePoint OwnedSince() const;
 
 private:
   /// Companions that were listed, and since when.
@@ -88,7 +88,7 @@
 
   bool IsOwnIn(Listing& aListing, const ShareKey& aKey) const;
 
-  KeeperListingsSettings mSettings;
+  ShareOwnershipSettings mSettings;
   std::string mOwnHost;
   std::deque<Listing> mListings; ///< the newest last
   bool mIsFirstListing = true;   ///< the oldest of them is this process's first
--- a/packages/state/include/shuntjunction/state/watchers.h
+++ b/packages/state/include/shuntjunction/state/watchers.h
@@ -25,18 +25,18 @@
 ///         no companion that stays
 /// Thread safety: pure.
 std::vector<InstanceInfo>
-WatchersOf(const std::vector<InstanceInfo>& aInstances,
-           std::string_view aZone,
-           std::size_t aCount);
+SelectWatchers(const std::vector<InstanceInfo>& aInstances,
+               std::string_view aZone,
+               std::size_t aCount);
 
 /// The companions that a process asks although it watches itself.
 ///
 /// Each process has its own few, so that it keeps few connections.
 /// Thread safety: pure.
 std::vector<InstanceInfo>
-PeersOf(const std::vector<InstanceInfo>& aInstances,
-        std::string_view aName,
-        std::size_t aCount);
+SelectPeers(const std::vector<InstanceInfo>& aInstances,
+            std::string_view aName,
+            std::size_t aCount);
 
 /// Whether a process watches the platform itself.
 ///
--- a/packages/state/include/shuntjunction/state/zone_watchers.h
+++ b/packages/state/include/shuntjunction/state/zone_watchers.h
@@ -27,8 +27,8 @@
 /// @return none in a small fleet, or where the zone has no engine
 /// Thread safety: pure.
 std::vector<std::string>
-ZoneWatchersOf(const std::vector<EndpointInfo>& aEndpoints,
-               std::string_view aZone,
-               const ZoneWatcherSettings& aSettings);
+SelectZoneWatchers(const std::vector<EndpointInfo>& aEndpoints,
+                   std::string_view aZone,
+                   const ZoneWatcherSettings& aSettings);
 
 } // namespace shuntjunction::state
--- a/packages/state/src/admission_queue.cpp
+++ b/packages/state/src/admission_queue.cpp
@@ -115,7 +115,7 @@
       !mFlights.contains(aTicket.mMissingPrefix)) {
     return true;
   }
-  return aNow >= aTicket.mArrived + mSettings.mFlightWait;
+  return aNow >= aTicket.mArrived + mSettings.mMaxPrefixWait;
 }
 
 std::optional<AdmissionTicket>
@@ -193,7 +193,7 @@
 }
 
 void
-AdmissionQueue::FirstToken(std::uint64_t aId)
+AdmissionQueue::NoteFirstToken(std::uint64_t aId)
 {
   const auto found = mRunning.find(aId);
   if (found == mRunning.end()) {
@@ -211,7 +211,7 @@
 void
 AdmissionQueue::Remove(std::uint64_t aId)
 {
-  FirstToken(aId);
+  NoteFirstToken(aId);
   if (mRunning.erase(aId) > 0) {
     return;
   }
@@ -237,7 +237,7 @@
   for (const ClassQueue& queue : mClasses) {
     for (const auto& [tag, ticket] : queue.mWaiting) {
       consider(ticket.mDeadline);
-      const TimePoint flightEnd = ticket.mArrived + mSettings.mFlightWait;
+      const TimePoint flightEnd = ticket.mArrived + mSettings.mMaxPrefixWait;
       if (ticket.mMissingPrefix != 0 && flightEnd > aNow) {
         consider(flightEnd);
       }
--- a/packages/state/src/chooser_baselines.cpp
+++ b/packages/state/src/chooser_baselines.cpp
@@ -31,8 +31,8 @@
     all.begin() + static_cast<std::ptrdiff_t>(std::min(sample, all.size()));
   std::stable_sort(
     all.begin(), end, [&](EndpointHandle aLeft, EndpointHandle aRight) {
-      return RememberedWaitMicros(mTable.At(aLeft), aNow) <
-             RememberedWaitMicros(mTable.At(aRight), aNow);
+      return EstimatedWaitMicros(mTable.At(aLeft), aNow) <
+             EstimatedWaitMicros(mTable.At(aRight), aNow);
     });
   all.resize(std::min(all.size(), aLimit));
   return all;
--- a/packages/state/src/chooser_baselines.h
+++ b/packages/state/src/chooser_baselines.h
@@ -20,7 +20,7 @@
     std::span<const EndpointHandle> aUsable,
     std::size_t aLimit,
     TimePoint aNow) override;
-  bool AsksFirst(const ChoiceQuery&) const override { return false; }
+  bool ProbesFirst(const ChoiceQuery&) const override { return false; }
 
 private:
   RandomSource& mRandom;
@@ -45,7 +45,7 @@
     std::span<const EndpointHandle> aUsable,
     std::size_t aLimit,
     TimePoint aNow) override;
-  bool AsksFirst(const ChoiceQuery&) const override { return false; }
+  bool ProbesFirst(const ChoiceQuery&) const override { return false; }
 
 private:
   const EndpointTable& mTable;
@@ -67,7 +67,7 @@
     std::span<const EndpointHandle> aUsable,
     std::size_t aLimit,
     TimePoint aNow) override;
-  bool AsksFirst(const ChoiceQuery&) const override { return false; }
+  bool ProbesFirst(const ChoiceQuery&) const override { return false; }
 
 private:
   const EndpointTable& mTable;
--- a/packages/state/src/chooser_nested_groups.cpp
+++ b/packages/state/src/chooser_nested_groups.cpp
@@ -70,7 +70,7 @@
 }
 
 bool
-NestedGroupsChooser::AsksFirst(const ChoiceQuery& aQuery) const
+NestedGroupsChooser::ProbesFirst(const ChoiceQuery& aQuery) const
 {
   return aQuery.mBlocks >= mSettings.mMinBlocks;
 }
--- a/packages/state/src/chooser_nested_groups.h
+++ b/packages/state/src/chooser_nested_groups.h
@@ -21,7 +21,7 @@
     std::span<const EndpointHandle> aUsable,
     std::size_t aLimit,
     TimePoint aNow) override;
-  bool AsksFirst(const ChoiceQuery& aQuery) const override;
+  bool ProbesFirst(const ChoiceQuery& aQuery) const override;
   void NoteSent(const ChoiceQuery& aQuery,
                 double aEngineSeconds,
                 TimePoint aNow) override;
--- a/packages/state/src/claim_machine.cpp
+++ b/packages/state/src/claim_machine.cpp
@@ -37,14 +37,14 @@
 
 struct ClaimDef
   : public msm::front::state_machine_def<ClaimDef>
-  , public IgnoresOthers
+  , public IgnoresUnhandledEvents
 {
   // States.
   using Create = MachineState<ClaimStep::kCreate>;
   using ReadBack = MachineState<ClaimStep::kReadBack>;
-  using HandOver = MachineState<ClaimStep::kHandOver>;
+  using HandOver = MachineState<ClaimStep::kExecute>;
   using Replay = MachineState<ClaimStep::kReplay>;
-  using Taken = MachineState<ClaimStep::kTaken>;
+  using Taken = MachineState<ClaimStep::kHeldByOther>;
   using KeyReused = MachineState<ClaimStep::kKeyReused>;
   using Undecided = MachineState<ClaimStep::kUndecided>;
   using initial_state = Create;
@@ -64,7 +64,7 @@
   > {};
   // clang-format on
 
-  using IgnoresOthers::no_transition;
+  using IgnoresUnhandledEvents::no_transition;
 
   ClaimStep mCurrent = ClaimStep::kCreate;
   std::string mNonce;
@@ -95,7 +95,7 @@
 }
 
 void
-ClaimMachine::CreateAnswered(const Result<std::uint64_t>& aRevision)
+ClaimMachine::OnCreateResult(const Result<std::uint64_t>& aRevision)
 {
   if (aRevision) {
     mMachine->mMayHaveWritten = true;
@@ -111,7 +111,7 @@
 }
 
 void
-ClaimMachine::ReadAnswered(const Result<std::optional<ClaimRecord>>& aRecord)
+ClaimMachine::OnReadResult(const Result<std::optional<ClaimRecord>>& aRecord)
 {
   if (!aRecord) {
     return; // Stay in kReadBack: the owner reads again.
@@ -133,7 +133,7 @@
 }
 
 void
-ClaimMachine::OutOfTime()
+ClaimMachine::OnTimeout()
 {
   mMachine->process_event(OutOfTimeEvent{});
 }
@@ -145,18 +145,18 @@
 }
 
 const ClaimRecord&
-ClaimMachine::Found() const
+ClaimMachine::ExistingRecord() const
 {
   return mMachine->mFound;
 }
 
 ClaimRecord
-ClaimMachine::Own(std::int64_t aNowMillis) const
+ClaimMachine::NewRecord(std::int64_t aNowMillis) const
 {
   ClaimRecord record;
   record.mNonce = mMachine->mNonce;
   record.mBodyDigest = mMachine->mBodyDigest;
-  record.mAtMillis = aNowMillis;
+  record.mCreatedAtMillis = aNowMillis;
   return record;
 }
 
@@ -165,7 +165,7 @@
 {
   boost::json::object object{ { "nonce", aRecord.mNonce },
                               { "digest", aRecord.mBodyDigest },
-                              { "at", aRecord.mAtMillis },
+                              { "at", aRecord.mCreatedAtMillis },
                               { "done", aRecord.mIsDone } };
   if (aRecord.mIsDone) {
     object["status"] = aRecord.mStatus;
@@ -188,7 +188,7 @@
   ClaimRecord record;
   record.mNonce = reader.Text("nonce");
   record.mBodyDigest = reader.Text("digest");
-  record.mAtMillis = reader.Integer("at", 0, INT64_MAX);
+  record.mCreatedAtMillis = reader.Integer("at", 0, INT64_MAX);
   record.mIsDone = reader.Flag("done");
   record.mStatus = static_cast<unsigned>(reader.Integer("status", 0, 999, 0));
   record.mContentType = reader.Text("contentType", "");
--- a/packages/state/src/claim_retention.cpp
+++ b/packages/state/src/claim_retention.cpp
@@ -62,7 +62,8 @@
   std::int64_t newest = 0;
   for (const auto& object : aShard) {
     const auto record = ReadClaimRecord(object.mValue);
-    times.push_back(record ? std::optional(record->mAtMillis) : std::nullopt);
+    times.push_back(record ? std::optional(record->mCreatedAtMillis)
+                           : std::nullopt);
     newest = std::max(newest, times.back().value_or(0));
   }
   const std::int64_t oldest =
