--- a/packages/state/src/config_objects.cpp
+++ b/packages/state/src/config_objects.cpp
@@ -60,7 +60,7 @@
   if (value == nullptr) {
     return limit;
   }
-  JsonReader reader(*value, aReader.Where("limit"));
+  JsonReader reader(*value, aReader.KeyPath("limit"));
   limit.mPerSecond = reader.Number("requestsPerSecond", 0, kMaxRate);
   limit.mBurst = reader.Number("burst", 0, kMaxRate, limit.mPerSecond);
   aReader.Merge(reader.Finish());
@@ -118,7 +118,7 @@
   team.mKeyDigests = reader.Texts("keyDigests");
   for (const auto& digest : team.mKeyDigests) {
     if (!IsHexDigest(digest)) {
-      reader.Note(
+      reader.AddError(
         "keyDigests", "\"" + digest + "\"", "SHA-256 as 64 hex digits");
     }
   }
@@ -160,16 +160,17 @@
   ParametersConfig config;
   const std::size_t slash = aName.find('/');
   if (slash == std::string_view::npos) {
-    reader.Note("", "a name without '/'", "TEAM/TEMPLATE");
+    reader.AddError("", "a name without '/'", "TEAM/TEMPLATE");
   } else {
     config.mTeam = aName.substr(0, slash);
     config.mTemplate = aName.substr(slash + 1);
   }
   config.mModel = reader.Text("model");
-  config.mStarts = reader.Texts("starts");
-  for (const auto& start : config.mStarts) {
+  config.mStartTimes = reader.Texts("starts");
+  for (const auto& start : config.mStartTimes) {
     if (!IsTimeOfDay(start)) {
-      reader.Note("starts", "\"" + start + "\"", "times of day as HH:MM, UTC");
+      reader.AddError(
+        "starts", "\"" + start + "\"", "times of day as HH:MM, UTC");
     }
   }
   config.mSharedText = reader.Texts("sharedText");
@@ -186,7 +187,8 @@
   config.mModel = reader.Text("model", "");
   config.mService = reader.Text("service", "");
   if (config.mModel.empty() == config.mService.empty()) {
-    reader.Note("model", "not set apart from 'service'", "exactly one of both");
+    reader.AddError(
+      "model", "not set apart from 'service'", "exactly one of both");
   }
   config.mRole =
     reader.Name("role", kEngineRoleNames, std::optional(EngineRole::kBoth));
--- a/packages/state/src/crash_ledger.cpp
+++ b/packages/state/src/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/state/crash_ledger.h"
+#include "shuntjunction/state/crash_tracker.h"
 
 #include <algorithm>
 #include <tuple>
@@ -14,13 +14,13 @@
 } // namespace
 
 bool
-CrashLedger::Note(const CrashReport& aReport, TimePoint aAt)
+CrashTracker::Note(const CrashReport& aReport, TimePoint aAt)
 {
   auto& record = RecordOf(aReport.mRequest, aAt);
   const auto isSame = [&](const Crash& aCrash) {
     const auto apart = std::max(aAt, aCrash.mAt) - std::min(aAt, aCrash.mAt);
     return aCrash.mEndpoint == aReport.mEndpoint &&
-           apart < mSettings.mSameCrash;
+           apart < mSettings.mDuplicateWindow;
   };
   const bool isKnown =
     std::any_of(record.mCrashes.begin(), record.mCrashes.end(), isSame);
@@ -29,7 +29,7 @@
   }
   record.mCrashes.push_back({ aReport.mEndpoint, aAt });
   record.mLatest = std::max(record.mLatest, aAt);
-  const auto most = static_cast<std::size_t>(mSettings.mMostCrashes);
+  const auto most = static_cast<std::size_t>(mSettings.mQuarantineThreshold);
   if (record.mCrashes.size() >= most) {
     record.mRefusedUntil =
       std::max(record.mRefusedUntil, aAt + mSettings.mQuarantine);
@@ -41,7 +41,7 @@
 }
 
 std::vector<CrashReport>
-CrashLedger::Clear(const RequestDigest& aRequest)
+CrashTracker::Clear(const RequestDigest& aRequest)
 {
   std::vector<CrashReport> known;
   const auto found = mRequests.find(aRequest);
@@ -56,9 +56,9 @@
 }
 
 bool
-CrashLedger::Quarantine(const RequestDigest& aRequest,
-                        TimePoint aNow,
-                        Millis aFor)
+CrashTracker::Quarantine(const RequestDigest& aRequest,
+                         TimePoint aNow,
+                         Millis aFor)
 {
   const bool isNew = QuarantineLeft(aRequest, aNow) == Millis(0);
   auto& record = RecordOf(aRequest, aNow);
@@ -69,7 +69,7 @@
 }
 
 int
-CrashLedger::Crashes(const RequestDigest& aRequest, TimePoint aNow) const
+CrashTracker::Crashes(const RequestDigest& aRequest, TimePoint aNow) const
 {
   const auto found = mRequests.find(aRequest);
   const bool isKnown =
@@ -78,7 +78,8 @@
 }
 
 Millis
-CrashLedger::QuarantineLeft(const RequestDigest& aRequest, TimePoint aNow) const
+CrashTracker::QuarantineLeft(const RequestDigest& aRequest,
+                             TimePoint aNow) const
 {
   const auto found = mRequests.find(aRequest);
   if (found == mRequests.end() || found->second.mRefusedUntil <= aNow) {
@@ -88,7 +89,7 @@
 }
 
 std::vector<AgedCrashReport>
-CrashLedger::Reports(TimePoint aNow) const
+CrashTracker::Reports(TimePoint aNow) const
 {
   std::vector<std::pair<std::size_t, AgedCrashReport>> ranked;
   for (const auto& [request, record] : mRequests) {
@@ -115,7 +116,7 @@
 }
 
 std::size_t
-CrashLedger::Quarantined(TimePoint aNow) const
+CrashTracker::Quarantined(TimePoint aNow) const
 {
   return static_cast<std::size_t>(
     std::count_if(mRequests.begin(), mRequests.end(), [&](const auto& aItem) {
@@ -124,16 +125,16 @@
 }
 
 bool
-CrashLedger::IsForgotten(const Record& aRecord, TimePoint aNow) const
+CrashTracker::IsForgotten(const Record& aRecord, TimePoint aNow) const
 {
   // One that was quarantined is on probation as long again: a single crash
   // brings it back.
   const auto since = std::max(aRecord.mLatest, aRecord.mRefusedUntil);
-  return aNow - since >= mSettings.mMemory;
+  return aNow - since >= mSettings.mSuspicionPeriod;
 }
 
-CrashLedger::Record&
-CrashLedger::RecordOf(const RequestDigest& aRequest, TimePoint aNow)
+CrashTracker::Record&
+CrashTracker::RecordOf(const RequestDigest& aRequest, TimePoint aNow)
 {
   const auto found = mRequests.find(aRequest);
   if (found != mRequests.end()) {
@@ -149,7 +150,7 @@
 }
 
 void
-CrashLedger::DropLeast(TimePoint aNow)
+CrashTracker::DropLeast(TimePoint aNow)
 {
   // Whoever has many requests crash beside others shall not be able to push
   // out one that is quarantined.
--- a/packages/state/src/endpoint_availability.cpp
+++ b/packages/state/src/endpoint_availability.cpp
@@ -93,7 +93,7 @@
 }
 
 SendClearance
-EndpointAvailability::Clear(TimePoint aNow)
+EndpointAvailability::GrantClearance(TimePoint aNow)
 {
   if (!IsRecovering(aNow)) {
     return SendClearance(0);
@@ -119,13 +119,14 @@
   }
 }
 
-AvailabilityBook::AvailabilityBook(const AvailabilitySettings& aSettings)
+AvailabilityRegistry::AvailabilityRegistry(
+  const AvailabilitySettings& aSettings)
   : mSettings(aSettings)
 {
 }
 
-AvailabilityBook::Ptr
-AvailabilityBook::Find(const std::string& aId, EndpointLife aLife)
+AvailabilityRegistry::Ptr
+AvailabilityRegistry::Find(const std::string& aId, EndpointIncarnation aLife)
 {
   const auto found = mById.find(aId);
   if (found == mById.end()) {
@@ -133,10 +134,11 @@
   }
   auto& entry = found->second;
   // An earlier start is most often that of a list that comes late.
-  if (entry.mLife.IsKnown() && entry.mLife < aLife) {
+  if (entry.mEndpointIncarnation.IsKnown() &&
+      entry.mEndpointIncarnation < aLife) {
     return Begin(aId, aLife);
   }
-  entry.mLife = std::max(entry.mLife, aLife);
+  entry.mEndpointIncarnation = std::max(entry.mEndpointIncarnation, aLife);
   if (entry.mRemovedAs != 0) {
     entry.mRemovedAs = 0;
     --mRemoved;
@@ -144,12 +146,13 @@
   return entry.mAvailability;
 }
 
-AvailabilityBook::Ptr
-AvailabilityBook::Begin(const std::string& aId, EndpointLife aLife)
+AvailabilityRegistry::Ptr
+AvailabilityRegistry::Begin(const std::string& aId, EndpointIncarnation aLife)
 {
   auto& entry = mById[aId];
   // A list that came late may have hidden the incarnation in between.
-  if (entry.mAvailability && aLife.IsKnown() && entry.mLife == aLife) {
+  if (entry.mAvailability && aLife.IsKnown() &&
+      entry.mEndpointIncarnation == aLife) {
     return Find(aId, aLife);
   }
   if (entry.mAvailability) {
@@ -163,7 +166,7 @@
 }
 
 void
-AvailabilityBook::NoteRemoved(std::string_view aId)
+AvailabilityRegistry::NoteRemoved(std::string_view aId)
 {
   const auto found = mById.find(aId);
   if (found == mById.end() || found->second.mRemovedAs != 0) {
@@ -177,7 +180,7 @@
 }
 
 void
-AvailabilityBook::DropOldest()
+AvailabilityRegistry::DropOldest()
 {
   auto oldest = mById.end();
   for (auto at = mById.begin(); at != mById.end(); ++at) {
--- a/packages/state/src/endpoint_chooser.cpp
+++ b/packages/state/src/endpoint_chooser.cpp
@@ -16,7 +16,7 @@
 }
 
 std::int64_t
-RememberedWaitMicros(const EndpointEntry& aEntry, TimePoint aNow)
+EstimatedWaitMicros(const EndpointEntry& aEntry, TimePoint aNow)
 {
   const auto age = std::chrono::duration_cast<std::chrono::microseconds>(
     aNow - aEntry.mLoad.mAt);
--- a/packages/state/src/endpoint_directory.cpp
+++ b/packages/state/src/endpoint_directory.cpp
@@ -7,8 +7,8 @@
 namespace shuntjunction::state {
 
 bool
-EndpointDirectory::TakeList(const std::vector<EndpointInfo>& aListed,
-                            TimePoint aNow)
+EndpointDirectory::MergeList(const std::vector<EndpointInfo>& aListed,
+                             TimePoint aNow)
 {
   bool isNews = false;
   std::set<std::string_view> listed;
@@ -32,11 +32,13 @@
 EndpointDirectory::Put(const EndpointInfo& aEndpoint, TimePoint aNow)
 {
   auto& entry = mEntries[aEndpoint.mId];
-  const auto word = entry.mLife.Take(aEndpoint.mLife, aNow);
-  if (word == LifeWord::kFormer) {
+  const auto word =
+    entry.mEndpointIncarnation.Take(aEndpoint.mEndpointIncarnation, aNow);
+  if (word == IncarnationUpdate::kFormer) {
     return PutFormer(entry, aEndpoint);
   }
-  const bool isFirst = entry.mFirstRevision == 0 || word == LifeWord::kNewer;
+  const bool isFirst =
+    entry.mFirstRevision == 0 || word == IncarnationUpdate::kNewer;
   const bool isNews =
     entry.mIsLapsed || entry.mInfo.mRevision != aEndpoint.mRevision;
   entry.mInfo = aEndpoint;
@@ -52,7 +54,7 @@
   const bool isSeen =
     aEntry.mFormer && aEntry.mFormer->mRevision == aEndpoint.mRevision;
   if (!isSeen) {
-    ++mFormerWords;
+    ++mStaleReports;
   }
   aEntry.mFormer = aEndpoint;
   if (!aEndpoint.mIsLeaving || aEntry.mInfo.mIsLeaving) {
@@ -84,7 +86,7 @@
     mEntries.erase(found);
   } else {
     found->second.mIsLapsed = true;
-    found->second.mGoesAt = mLastOutage + kLapseGrace;
+    found->second.mGoesAt = mLastOutage + kExpiredEntryGrace;
   }
   return true;
 }
@@ -112,7 +114,7 @@
 bool
 EndpointDirectory::IsInGrace(TimePoint aNow) const
 {
-  return mHadOutage && aNow < mLastOutage + kLapseGrace;
+  return mHadOutage && aNow < mLastOutage + kExpiredEntryGrace;
 }
 
 bool
@@ -122,7 +124,7 @@
                   return aItem.second.mIsLapsed && aNow >= aItem.second.mGoesAt;
                 }) > 0;
   for (auto& [id, entry] : mEntries) {
-    if (entry.mFormer && entry.mLife.Settle(aNow)) {
+    if (entry.mFormer && entry.mEndpointIncarnation.PromoteEarlier(aNow)) {
       entry.mInfo = *std::exchange(entry.mFormer, std::nullopt);
       entry.mFirstRevision = entry.mInfo.mRevision;
       isNews = true;
--- a/packages/state/src/endpoint_health.cpp
+++ b/packages/state/src/endpoint_health.cpp
@@ -32,7 +32,7 @@
 
 struct HealthDef
   : public msm::front::state_machine_def<HealthDef>
-  , public IgnoresOthers
+  , public IgnoresUnhandledEvents
 {
   // States.
   using Healthy = MachineState<HealthState::kHealthy>;
@@ -103,7 +103,7 @@
   > {};
   // clang-format on
 
-  using IgnoresOthers::no_transition;
+  using IgnoresUnhandledEvents::no_transition;
 
   HealthState mCurrent = HealthState::kHealthy;
   HealthSettings mSettings;
--- a/packages/state/src/endpoint_limits.cpp
+++ b/packages/state/src/endpoint_limits.cpp
@@ -8,18 +8,18 @@
 namespace shuntjunction::state {
 
 LimitHash
-HashOfLife(std::string_view aEndpointId, EndpointLife aLife)
+HashOfIncarnation(std::string_view aEndpointId, EndpointIncarnation aLife)
 {
   return PlacementHash(aEndpointId,
                        static_cast<std::uint64_t>(aLife.StartedAt()));
 }
 
 EndpointLimits::EndpointLimits(const EndpointLimitsSettings& aSettings,
-                               KeeperListings& aListings,
+                               ShareOwnership& aListings,
                                std::uint32_t aFirstEdition)
   : mSettings(aSettings)
-  , mListings(aListings)
-  , mEdition(aFirstEdition)
+  , mOwnership(aListings)
+  , mRateVersion(aFirstEdition)
 {
 }
 
@@ -27,13 +27,13 @@
 EndpointLimits::Note(const RateReport& aReport, TimePoint aNow)
 {
   const auto& endpoint = aReport.mEndpoint;
-  if (!IsMine(endpoint, aNow)) {
+  if (!IsOwner(endpoint, aNow)) {
     return std::nullopt;
   }
   const auto found = mLimited.find(endpoint.mHash);
   const bool isKnown = found != mLimited.end();
   if (aReport.mRate.mNotice == RateNotice::kAbsent) {
-    if (!isKnown || found->second.mEdition != aReport.mEdition) {
+    if (!isKnown || found->second.mRateVersion != aReport.mRateVersion) {
       return std::nullopt;
     }
     mLimited.erase(found);
@@ -41,7 +41,7 @@
   }
   const double named = aReport.mRate.mPerSecond;
   auto& limited = Find(endpoint, named, aNow);
-  limited.mEdition = ++mEdition;
+  limited.mRateVersion = ++mRateVersion;
   if (isKnown && limited.mNamed == named) {
     return std::nullopt;
   }
@@ -53,15 +53,15 @@
 PlaceGrant
 EndpointLimits::Take(const PlaceAsk& aAsk, TimePoint aNow)
 {
-  if (!IsMine(aAsk.mEndpoint, aNow)) {
+  if (!IsOwner(aAsk.mEndpoint, aNow)) {
     // Another keeps it, or may have until now.
-    return { false, 0, mSettings.mElsewherePause };
+    return { false, 0, mSettings.mNotOwnerRetryDelay };
   }
   auto& limited = Find(aAsk.mEndpoint, aAsk.mPerSecond, aNow);
   auto& bucket = limited.mBucket;
   const double needed = aAsk.mIsUrgent ? 1.0 : 1.0 + mSettings.mUrgentReserve;
   PlaceGrant grant;
-  grant.mEdition = limited.mEdition;
+  grant.mRateVersion = limited.mRateVersion;
   grant.mIsGiven = bucket.Left(aNow) >= needed;
   if (grant.mIsGiven) {
     bucket.TakeUpTo(1.0, aNow);
@@ -83,11 +83,11 @@
 }
 
 void
-EndpointLimits::ForgetOthers()
+EndpointLimits::ForgetUnowned()
 {
   std::erase_if(mLimited, [&](const auto& aItem) {
-    return !aItem.second.mIsBeside &&
-           !mListings.IsMineInNewest({ aItem.first, 0 });
+    return !aItem.second.mIsOnSameHost &&
+           !mOwnership.IsOwnerInNewest({ aItem.first, 0 });
   });
 }
 
@@ -102,10 +102,10 @@
   return known;
 }
 
-std::vector<RateUse>
-EndpointLimits::TakeUses()
+std::vector<RateUsage>
+EndpointLimits::CollectUsage()
 {
-  std::vector<RateUse> uses;
+  std::vector<RateUsage> uses;
   for (auto& [endpoint, limited] : mLimited) {
     const auto given = std::exchange(limited.mGiven, 0);
     const auto denied = std::exchange(limited.mDenied, 0);
@@ -117,16 +117,17 @@
 }
 
 bool
-EndpointLimits::IsMine(const LimitedEndpoint& aEndpoint, TimePoint aNow)
+EndpointLimits::IsOwner(const LimitedEndpoint& aEndpoint, TimePoint aNow)
 {
-  return aEndpoint.mIsBeside || mListings.IsMine({ aEndpoint.mHash, 0 }, aNow);
+  return aEndpoint.mIsOnSameHost ||
+         mOwnership.IsOwner({ aEndpoint.mHash, 0 }, aNow);
 }
 
 UsageLimit
 EndpointLimits::LimitOf(double aPerSecond) const
 {
   const double rate =
-    std::clamp(aPerSecond, mSettings.mLeastRate, mSettings.mMostRate);
+    std::clamp(aPerSecond, mSettings.mMinRate, mSettings.mMaxRate);
   return { rate, rate * mSettings.mBurstSeconds + mSettings.mBurstRequests };
 }
 
@@ -139,8 +140,9 @@
   const auto limit = LimitOf(aPerSecond);
   const auto [found, isNew] = mLimited.try_emplace(
     aEndpoint.mHash,
-    Limited{ UsageBucket(limit, 0, aNow), mEdition, aPerSecond, false, aNow });
-  found->second.mIsBeside = aEndpoint.mIsBeside;
+    Limited{
+      UsageBucket(limit, 0, aNow), mRateVersion, aPerSecond, false, aNow });
+  found->second.mIsOnSameHost = aEndpoint.mIsOnSameHost;
   found->second.mHeardAt = aNow;
   return found->second;
 }
--- a/packages/state/src/endpoint_table.cpp
+++ b/packages/state/src/endpoint_table.cpp
@@ -37,7 +37,7 @@
     if (isReplaced) {
       entry.mHealth = EndpointHealth(mSettings.mHealth);
       entry.mLoad = {};
-      entry.mSaidLeavingAt = {};
+      entry.mReportedLeavingAt = {};
     }
     entry.mInstance = instance;
     entry.mConfig = config->second;
@@ -77,8 +77,8 @@
 bool
 EndpointTable::IsLeaving(const EndpointEntry& aEntry, TimePoint aNow)
 {
-  const bool hasSaidSo = aEntry.mSaidLeavingAt != TimePoint() &&
-                         aNow < aEntry.mSaidLeavingAt + kLeavingMemory;
+  const bool hasSaidSo = aEntry.mReportedLeavingAt != TimePoint() &&
+                         aNow < aEntry.mReportedLeavingAt + kReportedLeavingTtl;
   return hasSaidSo || aEntry.mInstance.mIsLeaving;
 }
 
@@ -108,13 +108,13 @@
 void
 EndpointTable::NoteLeaving(EndpointHandle aHandle, TimePoint aNow)
 {
-  At(aHandle).mSaidLeavingAt = aNow;
+  At(aHandle).mReportedLeavingAt = aNow;
 }
 
 void
-EndpointTable::NoteOpen(EndpointHandle aHandle)
+EndpointTable::NoteReconnected(EndpointHandle aHandle)
 {
-  At(aHandle).mSaidLeavingAt = {};
+  At(aHandle).mReportedLeavingAt = {};
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/first_token.cpp
+++ b/packages/state/src/first_token.cpp
@@ -7,33 +7,33 @@
 
 namespace shuntjunction::state {
 
-ReadingRate::ReadingRate(const FirstTokenSettings& aSettings)
+PrefillRate::PrefillRate(const FirstTokenSettings& aSettings)
   : mSettings(aSettings)
   , mRate(aSettings.mStartRate)
 {
 }
 
 void
-ReadingRate::Note(std::int64_t aTokens, Millis aTook)
+PrefillRate::Note(std::int64_t aTokens, Millis aTook)
 {
   if (aTokens < mSettings.mLeastTokens) {
     return;
   }
   const double took = static_cast<double>(std::max(aTook, Millis(1)).count());
   const double seen = std::clamp(static_cast<double>(aTokens) / took,
-                                 mSettings.mLeastRate,
-                                 mSettings.mMostRate);
+                                 mSettings.mMinRate,
+                                 mSettings.mMaxRate);
   mRate += mSettings.mLearningShare * (seen - mRate);
 }
 
 Millis
-ReadingRate::TimeOf(std::int64_t aTokens) const
+PrefillRate::TimeOf(std::int64_t aTokens) const
 {
   return Millis(std::llround(static_cast<double>(aTokens) / mRate));
 }
 
 int
-UrgencyToSend(const FirstTokenAsk& aAsk, const FirstTokenSettings& aSettings)
+EffectiveUrgency(const FirstTokenAsk& aAsk, const FirstTokenSettings& aSettings)
 {
   const auto limit =
     static_cast<double>(aAsk.mObjective.count()) * aSettings.mOnTimeShare;
--- a/packages/state/src/json_reader.cpp
+++ b/packages/state/src/json_reader.cpp
@@ -54,7 +54,7 @@
 }
 
 Result<boost::json::value>
-ParseForeignJson(std::string_view aText, std::string_view aWhat)
+ParseUntrustedJson(std::string_view aText, std::string_view aWhat)
 {
   boost::json::parse_options options;
   options.allow_invalid_utf8 = true;
@@ -67,12 +67,12 @@
 {
   mObject = aValue.if_object();
   if (mObject == nullptr) {
-    Note("", Shown(aValue), "an object");
+    AddError("", Shown(aValue), "an object");
   }
 }
 
 std::string
-JsonReader::Where(std::string_view aKey) const
+JsonReader::KeyPath(std::string_view aKey) const
 {
   if (mPath.empty() || aKey.empty()) {
     return mPath + std::string(aKey);
@@ -81,9 +81,9 @@
 }
 
 void
-JsonReader::Note(std::string_view aKey,
-                 std::string_view aFound,
-                 std::string_view aAllowed)
+JsonReader::AddError(std::string_view aKey,
+                     std::string_view aFound,
+                     std::string_view aAllowed)
 {
   if (mError) {
     return;
@@ -91,7 +91,7 @@
   mError = Error{ ErrorCode::kInvalidArgument,
                   "json.read",
                   "",
-                  "'" + Where(aKey) + "' is " + std::string(aFound) +
+                  "'" + KeyPath(aKey) + "' is " + std::string(aFound) +
                     "; allowed is " + std::string(aAllowed) };
 }
 
@@ -108,12 +108,12 @@
   const auto* value = Find(aKey);
   if (value == nullptr) {
     if (!aDefault) {
-      Note(aKey, "absent", "a text");
+      AddError(aKey, "absent", "a text");
     }
     return aDefault.value_or("");
   }
   if (!value->is_string()) {
-    Note(aKey, Shown(*value), "a text");
+    AddError(aKey, Shown(*value), "a text");
     return "";
   }
   return std::string(value->as_string());
@@ -130,14 +130,14 @@
   const auto* value = Find(aKey);
   if (value == nullptr) {
     if (!aDefault) {
-      Note(aKey, "absent", allowed);
+      AddError(aKey, "absent", allowed);
     }
     return aDefault.value_or(aMin);
   }
   boost::json::error_code error;
   const auto number = value->to_number<std::int64_t>(error);
   if (error || value->is_double() || number < aMin || number > aMax) {
-    Note(aKey, Shown(*value), allowed);
+    AddError(aKey, Shown(*value), allowed);
     return aMin;
   }
   return number;
@@ -154,14 +154,14 @@
   const auto* value = Find(aKey);
   if (value == nullptr) {
     if (!aDefault) {
-      Note(aKey, "absent", allowed);
+      AddError(aKey, "absent", allowed);
     }
     return aDefault.value_or(aMin);
   }
   boost::json::error_code error;
   const auto number = value->to_number<double>(error);
   if (error || number < aMin || number > aMax) {
-    Note(aKey, Shown(*value), allowed);
+    AddError(aKey, Shown(*value), allowed);
     return aMin;
   }
   return number;
@@ -173,12 +173,12 @@
   const auto* value = Find(aKey);
   if (value == nullptr) {
     if (!aDefault) {
-      Note(aKey, "absent", "true or false");
+      AddError(aKey, "absent", "true or false");
     }
     return aDefault.value_or(false);
   }
   if (!value->is_bool()) {
-    Note(aKey, Shown(*value), "true or false");
+    AddError(aKey, Shown(*value), "true or false");
     return false;
   }
   return value->as_bool();
@@ -193,12 +193,12 @@
     return texts;
   }
   if (!value->is_array()) {
-    Note(aKey, Shown(*value), "a list of texts");
+    AddError(aKey, Shown(*value), "a list of texts");
     return texts;
   }
   for (const auto& item : value->as_array()) {
     if (!item.is_string()) {
-      Note(aKey, Shown(*value), "a list of texts");
+      AddError(aKey, Shown(*value), "a list of texts");
       return texts;
     }
     texts.emplace_back(item.as_string());
@@ -225,7 +225,7 @@
         for (const auto& known : mKnown) {
           allowed += (allowed.size() > 5 ? ", " : "") + known;
         }
-        Note(key, "an unknown key", allowed);
+        AddError(key, "an unknown key", allowed);
       }
     }
   }
--- a/packages/state/src/late_queue.cpp
+++ b/packages/state/src/late_requests.cpp
@@ -1,22 +1,22 @@
-#include "shuntjunction/state/late_queue.h"
+#include "shuntjunction/state/late_requests.h"
 
 #include <algorithm>
 
 namespace shuntjunction::state {
 
-LateQueue::LateQueue(const LateQueueSettings& aSettings)
+LateRequests::LateRequests(const LateRequestsSettings& aSettings)
   : mSettings(aSettings)
 {
 }
 
 void
-LateQueue::Add(TimePoint aSentAt)
+LateRequests::Add(TimePoint aSentAt)
 {
   mSent.insert(aSentAt);
 }
 
 void
-LateQueue::Remove(TimePoint aSentAt)
+LateRequests::Remove(TimePoint aSentAt)
 {
   const auto found = mSent.find(aSentAt);
   if (found != mSent.end()) {
@@ -25,7 +25,7 @@
 }
 
 bool
-LateQueue::IsStuck(TimePoint aNow, Millis aObjective) const
+LateRequests::IsStalled(TimePoint aNow, Millis aObjective) const
 {
   if (mSent.empty()) {
     return false;
@@ -37,7 +37,7 @@
 }
 
 Millis
-LateQueue::ReturnAfter(Millis aExpected, double aDraw) const
+LateRequests::RetryDelay(Millis aExpected, double aDraw) const
 {
   const auto first =
     static_cast<double>(std::max(aExpected, mSettings.mFirstReturn).count());
--- a/packages/state/src/limit_shares.cpp
+++ b/packages/state/src/limit_shares.cpp
@@ -20,33 +20,33 @@
   return PlacementHash(aTeam);
 }
 
-ShareKeeper::ShareKeeper(const ShareKeeperSettings& aSettings,
+LimitShares::LimitShares(const LimitSharesSettings& aSettings,
                          std::string aOwnHost)
   : mSettings(aSettings)
-  , mListings(aSettings.mListings, std::move(aOwnHost))
+  , mOwnership(aSettings.mOwnership, std::move(aOwnHost))
 {
 }
 
 bool
-ShareKeeper::SetHosts(std::vector<std::string> aHosts, TimePoint aNow)
+LimitShares::SetHosts(std::vector<std::string> aHosts, TimePoint aNow)
 {
-  if (!mListings.SetHosts(std::move(aHosts), aNow)) {
+  if (!mOwnership.SetHosts(std::move(aHosts), aNow)) {
     return false;
   }
   // A share that comes back later starts anew: another gave of it meanwhile.
   std::erase_if(mBuckets, [&](const auto& aItem) {
-    return !mListings.IsMineInNewest(aItem.first);
+    return !mOwnership.IsOwnerInNewest(aItem.first);
   });
   return true;
 }
 
 ShareGrant
-ShareKeeper::Take(const ShareAsk& aAsk, TimePoint aNow)
+LimitShares::Take(const ShareAsk& aAsk, TimePoint aNow)
 {
-  const bool isSound = aAsk.mKey.mShare < kSharesOfLimit &&
-                       aAsk.mLimit.IsLimited() && aAsk.mAmount <= kMostUsage;
-  if (!isSound || !mListings.IsMine(aAsk.mKey, aNow)) {
-    return { 0, mSettings.mListings.mHandover };
+  const bool isSound = aAsk.mKey.mShare < kSharesPerLimit &&
+                       aAsk.mLimit.IsLimited() && aAsk.mAmount <= kMaxUsage;
+  if (!isSound || !mOwnership.IsOwner(aAsk.mKey, aNow)) {
+    return { 0, mSettings.mOwnership.mHandover };
   }
   auto& bucket = ShareOf(aAsk, aNow).mBucket;
   ShareGrant grant;
@@ -59,24 +59,24 @@
 }
 
 void
-ShareKeeper::GiveBack(const ShareKey& aKey, std::uint32_t aAmount)
+LimitShares::GiveBack(const ShareKey& aKey, std::uint32_t aAmount)
 {
   const auto found = mBuckets.find(aKey);
   if (found != mBuckets.end()) {
-    found->second.mBucket.GiveBack(std::min(aAmount, kMostUsage));
+    found->second.mBucket.GiveBack(std::min(aAmount, kMaxUsage));
   }
 }
 
 UsageLimit
-ShareKeeper::LimitOfShare(const UsageLimit& aWhole) const
+LimitShares::LimitOfShare(const UsageLimit& aWhole) const
 {
-  constexpr double kShare = 1.0 / static_cast<double>(kSharesOfLimit);
+  constexpr double kShare = 1.0 / static_cast<double>(kSharesPerLimit);
   return { aWhole.mPerSecond * kShare,
            (aWhole.mBurst + mSettings.mBurstTolerance) * kShare };
 }
 
-ShareKeeper::Share&
-ShareKeeper::ShareOf(const ShareAsk& aAsk, TimePoint aNow)
+LimitShares::Share&
+LimitShares::ShareOf(const ShareAsk& aAsk, TimePoint aNow)
 {
   const auto limit = LimitOfShare(aAsk.mLimit);
   auto found = mBuckets.find(aAsk.mKey);
@@ -85,7 +85,7 @@
     // What a former life of this process, or another keeper, gave is not known:
     // the bucket was empty when this one could first give.
     const std::chrono::duration<double> kept =
-      std::max(aNow - mListings.KeptSince(), {});
+      std::max(aNow - mOwnership.OwnedSince(), {});
     found =
       mBuckets
         .emplace(
@@ -104,7 +104,7 @@
 }
 
 void
-ShareKeeper::ForgetFull(TimePoint aNow)
+LimitShares::ForgetFull(TimePoint aNow)
 {
   if (mBuckets.size() < mSettings.mMaxBuckets) {
     return;
@@ -142,14 +142,14 @@
   }
   const auto [found, isNew] = mKeepers.try_emplace(aTeam);
   if (isNew) {
-    for (std::uint8_t share = 0; share < kSharesOfLimit; ++share) {
-      found->second[share] = KeeperOfShare(mHosts, { aTeam, share });
+    for (std::uint8_t share = 0; share < kSharesPerLimit; ++share) {
+      found->second[share] = OwnerOfShare(mHosts, { aTeam, share });
     }
   }
   std::vector<ShareSource> sources;
-  for (std::size_t i = 0; i < kSharesOfLimit; ++i) {
+  for (std::size_t i = 0; i < kSharesPerLimit; ++i) {
     const auto share =
-      static_cast<std::uint8_t>((mSeed + aTeam + i) % kSharesOfLimit);
+      static_cast<std::uint8_t>((mSeed + aTeam + i) % kSharesPerLimit);
     sources.push_back({ { aTeam, share }, mHosts[found->second[share]] });
   }
   std::stable_partition(
@@ -159,24 +159,24 @@
   return sources;
 }
 
-std::optional<RateKeeper>
-ShareDirectory::KeeperOfEndpoint(const std::string& aEndpointHost,
-                                 LimitHash aEndpoint) const
+std::optional<RateOwner>
+ShareDirectory::OwnerOfEndpoint(const std::string& aEndpointHost,
+                                LimitHash aEndpoint) const
 {
   if (mHosts.empty()) {
     return std::nullopt;
   }
   const auto beside = mZoneByHost.find(aEndpointHost);
   if (beside != mZoneByHost.end()) {
-    return RateKeeper{ beside->first, true };
+    return RateOwner{ beside->first, true };
   }
-  return RateKeeper{ mHosts[KeeperOfShare(mHosts, { aEndpoint, 0 })], false };
+  return RateOwner{ mHosts[OwnerOfShare(mHosts, { aEndpoint, 0 })], false };
 }
 
 void
-ShareDirectory::Close(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil)
+ShareDirectory::Exclude(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil)
 {
-  if (mClosed.size() > kMaxTeams * kSharesOfLimit) {
+  if (mClosed.size() > kMaxTeams * kSharesPerLimit) {
     mClosed.clear();
   }
   mClosed[aKey] = { aWhy, aUntil };
--- a/packages/state/src/list_freshness.cpp
+++ b/packages/state/src/list_freshness.cpp
@@ -13,14 +13,14 @@
 } // namespace
 
 void
-ListFreshness::TakeOwn(std::uint64_t aRevision, TimePoint aAskedAt)
+ListFreshness::NoteListRevision(std::uint64_t aRevision, TimePoint aAskedAt)
 {
   AdvanceTo(aRevision);
-  TakeStore(aRevision, aAskedAt);
+  NoteStoreRevision(aRevision, aAskedAt);
 }
 
 void
-ListFreshness::TakeOther(std::uint64_t aRevision)
+ListFreshness::NoteOtherRevision(std::uint64_t aRevision)
 {
   if (aRevision <= mKnown) {
     return;
@@ -33,7 +33,7 @@
 }
 
 void
-ListFreshness::TakeStore(std::uint64_t aRevision, TimePoint aAskedAt)
+ListFreshness::NoteStoreRevision(std::uint64_t aRevision, TimePoint aAskedAt)
 {
   mStore = std::max(mStore.load(), aRevision);
   if (aRevision <= mKnown) {
--- a/packages/state/src/load_turns.cpp
+++ b/packages/state/src/load_schedule.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/state/load_turns.h"
+#include "shuntjunction/state/load_schedule.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,8 +9,8 @@
 namespace shuntjunction::state {
 
 std::vector<std::string>
-LoadOrder(const std::vector<EndpointInfo>& aEndpoints,
-          const NamedWeights& aWeights)
+WeightLoadSequence(const std::vector<EndpointInfo>& aEndpoints,
+                   const LatestWeights& aWeights)
 {
   struct Rank
   {
@@ -40,9 +40,9 @@
 }
 
 std::optional<Millis>
-TurnOf(const std::vector<std::string>& aOrder,
-       std::string_view aEndpointId,
-       const LoadTurnSettings& aSettings)
+LoadStartOf(const std::vector<std::string>& aOrder,
+            std::string_view aEndpointId,
+            const LoadScheduleSettings& aSettings)
 {
   const auto found = std::find(aOrder.begin(), aOrder.end(), aEndpointId);
   if (found == aOrder.end()) {
--- a/packages/state/src/machine_state.h
+++ b/packages/state/src/machine_state.h
@@ -23,7 +23,7 @@
 
 /// A part of a machine for which an event that means nothing in a state is no
 /// error; the machine names its no_transition with a using declaration.
-struct IgnoresOthers
+struct IgnoresUnhandledEvents
 {
   template<typename Event, typename Fsm>
   void no_transition(const Event& /*aEvent*/, Fsm& /*aFsm*/, int /*aState*/)
--- a/packages/state/src/object_mirror.cpp
+++ b/packages/state/src/object_mirror.cpp
@@ -36,8 +36,8 @@
 
 } // namespace
 
-const TopicWord*
-MirrorPage::Topic(std::string_view aPrefix) const
+const TopicStatus*
+MirrorUpdate::Topic(std::string_view aPrefix) const
 {
   const auto found =
     std::find_if(mTopics.begin(), mTopics.end(), [&](const auto& aTopic) {
@@ -47,12 +47,12 @@
 }
 
 std::string
-WriteMirrorPage(const MirrorPage& aPage)
+WriteMirrorUpdate(const MirrorUpdate& aPage)
 {
   boost::json::array topics;
   for (const auto& topic : aPage.mTopics) {
     topics.push_back({ { "prefix", topic.mPrefix },
-                       { "known", topic.mKnown },
+                       { "known", topic.mKnownRevision },
                        { "age_ms", topic.mAge.count() } });
   }
   boost::json::array changes;
@@ -72,15 +72,15 @@
   return boost::json::serialize(page);
 }
 
-Result<MirrorPage>
-ReadMirrorPage(std::string_view aText, std::string_view aPeer)
+Result<MirrorUpdate>
+ReadMirrorUpdate(std::string_view aText, std::string_view aPeer)
 {
-  const auto value = ParseForeignJson(aText, "page");
+  const auto value = ParseUntrustedJson(aText, "page");
   if (!value) {
     return tl::unexpected<Error>(value.error());
   }
   JsonReader reader(*value, "page");
-  MirrorPage page;
+  MirrorUpdate page;
   page.mEpoch = ReadNumber(reader, "epoch");
   page.mSequence = ReadNumber(reader, "sequence");
   page.mIsWhole = reader.Flag("whole", false);
@@ -151,20 +151,20 @@
 }
 
 void
-ObjectMirror::TakeList(std::string_view aPrefix,
-                       std::uint64_t aRevision,
-                       const std::vector<RawObject>& aObjects,
-                       TimePoint aNow)
+ObjectMirror::MergeList(std::string_view aPrefix,
+                        std::uint64_t aRevision,
+                        const std::vector<RawObject>& aObjects,
+                        TimePoint aNow)
 {
   auto& topic = mTopics.try_emplace(std::string(aPrefix)).first->second;
-  if (topic.mKnown == 0) {
+  if (topic.mKnownRevision == 0) {
     // What went before the first list is not known.
     topic.mSince = aRevision;
   }
   std::set<std::string_view> listed;
   for (const auto& object : aObjects) {
     listed.insert(object.mKey);
-    TakeChange(object, aNow);
+    MergeChange(object, aNow);
   }
   std::vector<std::string> gone;
   for (auto it = mObjects.lower_bound(aPrefix);
@@ -180,7 +180,7 @@
 }
 
 void
-ObjectMirror::TakeChange(const RawObject& aObject, TimePoint aNow)
+ObjectMirror::MergeChange(const RawObject& aObject, TimePoint aNow)
 {
   const auto known = mObjects.find(aObject.mKey);
   const bool isDeleted = aObject.mValue.empty();
@@ -193,28 +193,28 @@
 }
 
 void
-ObjectMirror::NoteTopic(std::string_view aPrefix,
-                        std::uint64_t aKnown,
-                        TimePoint aAsOf)
+ObjectMirror::UpdateTopic(std::string_view aPrefix,
+                          std::uint64_t aKnown,
+                          TimePoint aAsOf)
 {
   auto& topic = mTopics.try_emplace(std::string(aPrefix)).first->second;
-  topic.mKnown = std::max(topic.mKnown, aKnown);
+  topic.mKnownRevision = std::max(topic.mKnownRevision, aKnown);
   topic.mAsOf = std::max(topic.mAsOf, aAsOf);
 }
 
-MirrorPage
-ObjectMirror::PageSince(std::uint64_t aEpoch,
-                        std::uint64_t aSequence,
-                        TimePoint aNow) const
+MirrorUpdate
+ObjectMirror::UpdateSince(std::uint64_t aEpoch,
+                          std::uint64_t aSequence,
+                          TimePoint aNow) const
 {
-  MirrorPage page;
+  MirrorUpdate page;
   page.mEpoch = mEpoch;
   page.mSequence = mSequence;
   page.mIsWhole = aEpoch != mEpoch || aSequence + 1 < mFirstKept ||
                   aSequence > mSequence || aSequence == 0;
   for (const auto& [prefix, topic] : mTopics) {
     page.mTopics.push_back(
-      { prefix, topic.mKnown, Millis(AgeOf(topic.mAsOf, aNow)) });
+      { prefix, topic.mKnownRevision, Millis(AgeOf(topic.mAsOf, aNow)) });
   }
   if (mTroubleAt) {
     page.mTroubleAge = Millis(AgeOf(*mTroubleAt, aNow));
@@ -234,7 +234,9 @@
 }
 
 void
-ObjectMirror::Apply(const MirrorPage& aPage, TimePoint aAskedAt, TimePoint aNow)
+ObjectMirror::Apply(const MirrorUpdate& aPage,
+                    TimePoint aAskedAt,
+                    TimePoint aNow)
 {
   if (aPage.mIsWhole) {
     mObjects.clear();
@@ -243,13 +245,13 @@
     mFirstKept = mSequence + 1;
   }
   for (const auto& topic : aPage.mTopics) {
-    NoteTopic(topic.mPrefix, topic.mKnown, aAskedAt - topic.mAge);
+    UpdateTopic(topic.mPrefix, topic.mKnownRevision, aAskedAt - topic.mAge);
     if (aPage.mIsWhole) {
-      mTopics.find(topic.mPrefix)->second.mSince = topic.mKnown;
+      mTopics.find(topic.mPrefix)->second.mSince = topic.mKnownRevision;
     }
   }
   for (const auto& change : aPage.mChanges) {
-    TakeChange(change, aNow);
+    MergeChange(change, aNow);
   }
   if (aPage.mTroubleAge) {
     mTroubleAt = aNow - *aPage.mTroubleAge;
--- a/packages/state/src/order_machine.cpp
+++ b/packages/state/src/order_machine.cpp
@@ -35,15 +35,15 @@
 
 struct OrderDef
   : public msm::front::state_machine_def<OrderDef>
-  , public IgnoresOthers
+  , public IgnoresUnhandledEvents
 {
   // States.
   using ReadFence = MachineState<OrderStep::kReadFence>;
-  using TakeFence = MachineState<OrderStep::kTakeFence>;
+  using TakeFence = MachineState<OrderStep::kAcquireFence>;
   using Drain = MachineState<OrderStep::kDrain>;
-  using LookAgain = MachineState<OrderStep::kLookAgain>;
-  using Order = MachineState<OrderStep::kOrder>;
-  using Over = MachineState<OrderStep::kOver>;
+  using LookAgain = MachineState<OrderStep::kRecheckFence>;
+  using Order = MachineState<OrderStep::kSendOrder>;
+  using Over = MachineState<OrderStep::kCompleted>;
   using Lost = MachineState<OrderStep::kLost>;
   using initial_state = ReadFence;
 
@@ -63,12 +63,12 @@
   > {};
   // clang-format on
 
-  using IgnoresOthers::no_transition;
+  using IgnoresUnhandledEvents::no_transition;
 
   OrderStep mCurrent = OrderStep::kReadFence;
   std::string mHolder;
   std::uint64_t mEngineFence = 0;
-  HeldFence mFound;
+  StoredFence mFound;
   std::uint64_t mFence = 0; ///< held, from kDrain on
 };
 
@@ -119,7 +119,7 @@
 }
 
 void
-OrderMachine::FenceRead(const Result<HeldFence>& aFound)
+OrderMachine::OnFenceRead(const Result<StoredFence>& aFound)
 {
   if (!aFound) {
     mMachine->process_event(UnsureEvent{});
@@ -139,7 +139,7 @@
 }
 
 void
-OrderMachine::FenceWritten(const Result<std::uint64_t>& aRevision)
+OrderMachine::OnFenceWritten(const Result<std::uint64_t>& aRevision)
 {
   if (aRevision) {
     mMachine->mFence = Next().mFence;
@@ -152,13 +152,13 @@
 }
 
 void
-OrderMachine::Drained()
+OrderMachine::OnDrained()
 {
   mMachine->process_event(DrainedEvent{});
 }
 
 void
-OrderMachine::Ordered()
+OrderMachine::OnOrderSent()
 {
   mMachine->process_event(OrderedEvent{});
 }
--- a/packages/state/src/part_ledger.cpp
+++ b/packages/state/src/part_record_table.cpp
@@ -1,9 +1,9 @@
-#include "shuntjunction/state/part_ledger.h"
+#include "shuntjunction/state/part_record_table.h"
 
 namespace shuntjunction::state {
 
 PartRecord&
-PartLedger::At(std::string aName)
+PartRecordTable::At(std::string aName)
 {
   const auto found = mByKey.find(aName);
   if (found != mByKey.end()) {
@@ -20,11 +20,11 @@
 }
 
 void
-PartLedger::ForgetReader(std::string_view aEndpoint)
+PartRecordTable::ForgetPrefillsOf(std::string_view aEndpoint)
 {
   for (auto& item : mOrder) {
-    if (item.mRecord.mReader == aEndpoint) {
-      item.mRecord.mReadingFrom = {};
+    if (item.mRecord.mPrefillEndpoint == aEndpoint) {
+      item.mRecord.mPrefillStartedAt = {};
     }
   }
 }
--- a/packages/state/src/recent_changes.cpp
+++ b/packages/state/src/recent_changes.cpp
@@ -115,7 +115,7 @@
 }
 
 std::string
-RecentChanges::TextSince(std::uint64_t aEpoch, std::uint64_t aHave) const
+RecentChanges::SerializeSince(std::uint64_t aEpoch, std::uint64_t aHave) const
 {
   if (aHave == 0 || aEpoch != mKept.mEpoch || aHave < mKept.mSince) {
     return {};
--- a/packages/state/src/relay_choice.cpp
+++ b/packages/state/src/relay_choice.cpp
@@ -160,14 +160,15 @@
 }
 
 std::optional<std::size_t>
-ChooseApart(std::span<const RelayCandidate> aCandidates,
-            std::uint64_t aKey,
-            const RelayChoiceSettings& aSettings)
+ChooseForSuspect(std::span<const RelayCandidate> aCandidates,
+                 std::uint64_t aKey,
+                 const RelayChoiceSettings& aSettings)
 {
   const auto allowed = Allowed(aCandidates, aSettings);
   const auto rankOf = [&](std::size_t aIndex) {
     const auto& candidate = aCandidates[aIndex];
-    return std::pair(-candidate.mSuspects, Rank(candidate.mNameHash, aKey));
+    return std::pair(-candidate.mSuspectRequests,
+                     Rank(candidate.mNameHash, aKey));
   };
   const auto first =
     std::max_element(allowed.begin(), allowed.end(), [&](auto aOne, auto aTwo) {
@@ -176,13 +177,13 @@
   return first == allowed.end() ? std::nullopt : std::optional(*first);
 }
 
-const PartStoreRule*
-StoreOfPart(std::span<const PartStoreRule> aStores,
+const KvStoreRule*
+StoreOfPart(std::span<const KvStoreRule> aStores,
             std::string_view aPartName,
             std::string_view aZone)
 {
   const std::uint64_t key = PlacementHash(aPartName);
-  const auto rankOf = [&](const PartStoreRule& aStore) {
+  const auto rankOf = [&](const KvStoreRule& aStore) {
     return std::pair(aStore.mZone == aZone,
                      Rank(PlacementHash(aStore.mAddress), key));
   };
--- a/packages/state/src/request_life.cpp
+++ b/packages/state/src/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/state/request_life.h"
+#include "shuntjunction/state/request_lifecycle.h"
 
 #include <boost/mpl/vector.hpp>
 #include <boost/msm/back/state_machine.hpp>
@@ -30,7 +30,7 @@
 
 struct RequestDef
   : public msm::front::state_machine_def<RequestDef>
-  , public IgnoresOthers
+  , public IgnoresUnhandledEvents
 {
   // States.
   using Unsent = MachineState<RequestState::kUnsent>;
@@ -83,7 +83,7 @@
   > {};
   // clang-format on
 
-  using IgnoresOthers::no_transition;
+  using IgnoresUnhandledEvents::no_transition;
 
   RequestState mCurrent = RequestState::kUnsent;
   Repeatability mRepeatability = Repeatability::kRepeatable;
@@ -93,56 +93,56 @@
 
 } // namespace
 
-struct RequestLife::Machine : public msm::back::state_machine<RequestDef>
+struct RequestLifecycle::Machine : public msm::back::state_machine<RequestDef>
 {};
 
-RequestLife::RequestLife(Repeatability aRepeatability)
+RequestLifecycle::RequestLifecycle(Repeatability aRepeatability)
   : mMachine(std::make_unique<Machine>())
 {
   mMachine->mRepeatability = aRepeatability;
   mMachine->start();
 }
 
-RequestLife::~RequestLife() = default;
+RequestLifecycle::~RequestLifecycle() = default;
 
 void
-RequestLife::Offered()
+RequestLifecycle::Offered()
 {
   mMachine->process_event(OfferedEvent{});
 }
 
 void
-RequestLife::Refused()
+RequestLifecycle::Refused()
 {
   mMachine->process_event(RefusedEvent{});
 }
 
 void
-RequestLife::Started()
+RequestLifecycle::Started()
 {
   mMachine->process_event(StartedEvent{});
 }
 
 void
-RequestLife::Lost()
+RequestLifecycle::Lost()
 {
   mMachine->process_event(LostEvent{});
 }
 
 void
-RequestLife::Finished()
+RequestLifecycle::Finished()
 {
   mMachine->process_event(FinishedEvent{});
 }
 
 void
-RequestLife::Settled()
+RequestLifecycle::Settled()
 {
   mMachine->process_event(SettledEvent{});
 }
 
 bool
-RequestLife::MayOffer() const
+RequestLifecycle::MayOffer() const
 {
   switch (State()) {
     case RequestState::kUnsent:
@@ -165,19 +165,19 @@
 }
 
 bool
-RequestLife::WasLost() const
+RequestLifecycle::WasLost() const
 {
   return mMachine->mWasUncertain;
 }
 
 bool
-RequestLife::IsNotRun() const
+RequestLifecycle::IsNotRun() const
 {
   return State() == RequestState::kUnsent;
 }
 
 RequestState
-RequestLife::State() const
+RequestLifecycle::State() const
 {
   return mMachine->mCurrent;
 }
--- a/packages/state/src/settings.cpp
+++ b/packages/state/src/settings.cpp
@@ -31,7 +31,7 @@
 {
   std::string text = aReader.Text(aKey, std::move(aDefault));
   if (!ParseAddress(text)) {
-    aReader.Note(aKey, "\"" + text + "\"", "IP:PORT");
+    aReader.AddError(aKey, "\"" + text + "\"", "IP:PORT");
   }
   return text;
 }
@@ -45,7 +45,7 @@
   if (value == nullptr) {
     return;
   }
-  JsonReader reader(*value, aReader.Where(aKey));
+  JsonReader reader(*value, aReader.KeyPath(aKey));
   aRead(reader);
   aReader.Merge(reader.Finish());
 }
@@ -146,8 +146,8 @@
                     0,
                     kMaxCount,
                     static_cast<std::int64_t>(admission.mMaxQueued)));
-  admission.mFlightWait = Millis(aReader.Integer(
-    "flightWaitMs", 0, kMaxMillis, admission.mFlightWait.count()));
+  admission.mMaxPrefixWait = Millis(aReader.Integer(
+    "flightWaitMs", 0, kMaxMillis, admission.mMaxPrefixWait.count()));
   aCompanion.mMicrosPerBlock =
     aReader.Integer("microsPerBlock", 1, kMaxCount, aCompanion.mMicrosPerBlock);
   aCompanion.mBackendTimeout =
@@ -173,12 +173,12 @@
   aSettings.mPlatform = ReadAddress(aReader, "platform", std::nullopt);
   aSettings.mSecret = aReader.Text("secret");
   if (aSettings.mSecret.size() < kMinSecretBytes) {
-    aReader.Note("secret", "too short", "16 characters or more");
+    aReader.AddError("secret", "too short", "16 characters or more");
   }
   aSettings.mPeers = aReader.Texts("peers");
   for (const auto& peer : aSettings.mPeers) {
     if (!ParseAddress(peer)) {
-      aReader.Note("peers", "\"" + peer + "\"", "a list of IP:PORT");
+      aReader.AddError("peers", "\"" + peer + "\"", "a list of IP:PORT");
     }
   }
   aSettings.mPlatformTimeout =
--- a/packages/state/src/keeper_listings.cpp
+++ b/packages/state/src/share_ownership.cpp
@@ -1,4 +1,4 @@
-#include "shuntjunction/state/keeper_listings.h"
+#include "shuntjunction/state/share_ownership.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace shuntjunction::state {
 
 std::size_t
-KeeperOfShare(const std::vector<std::string>& aHosts, const ShareKey& aKey)
+OwnerOfShare(const std::vector<std::string>& aHosts, const ShareKey& aKey)
 {
   const auto rankOf = [&](const std::string& aHost) {
     return PlacementHash(aHost, aKey.mLimit + aKey.mShare);
@@ -19,7 +19,7 @@
   return static_cast<std::size_t>(best - aHosts.begin());
 }
 
-KeeperListings::KeeperListings(const KeeperListingsSettings& aSettings,
+ShareOwnership::ShareOwnership(const ShareOwnershipSettings& aSettings,
                                std::string aOwnHost)
   : mSettings(aSettings)
   , mOwnHost(std::move(aOwnHost))
@@ -27,7 +27,7 @@
 }
 
 bool
-KeeperListings::SetHosts(std::vector<std::string> aHosts, TimePoint aNow)
+ShareOwnership::SetHosts(std::vector<std::string> aHosts, TimePoint aNow)
 {
   std::sort(aHosts.begin(), aHosts.end());
   aHosts.erase(std::unique(aHosts.begin(), aHosts.end()), aHosts.end());
@@ -35,8 +35,9 @@
   if (aHosts.empty() || isKnown) {
     return false;
   }
-  const bool isSettling = mIsFirstListing && mListings.size() == 1 &&
-                          aNow - mListings.back().mSince < mSettings.mSettling;
+  const bool isSettling =
+    mIsFirstListing && mListings.size() == 1 &&
+    aNow - mListings.back().mSince < mSettings.mStartupWindow;
   if (isSettling) {
     mListings.back().mHosts = std::move(aHosts);
     mListings.back().mIsOwn.clear();
@@ -47,7 +48,7 @@
 }
 
 bool
-KeeperListings::IsMine(const ShareKey& aKey, TimePoint aNow)
+ShareOwnership::IsOwner(const ShareKey& aKey, TimePoint aNow)
 {
   if (mListings.empty()) {
     return false;
@@ -64,24 +65,24 @@
 }
 
 bool
-KeeperListings::IsMineInNewest(const ShareKey& aKey)
+ShareOwnership::IsOwnerInNewest(const ShareKey& aKey)
 {
   return IsOwnIn(mListings.back(), aKey);
 }
 
 TimePoint
-KeeperListings::KeptSince() const
+ShareOwnership::OwnedSince() const
 {
   const auto& oldest = mListings.front();
   return oldest.mSince + (mIsFirstListing ? Millis(0) : mSettings.mHandover);
 }
 
 bool
-KeeperListings::IsOwnIn(Listing& aListing, const ShareKey& aKey) const
+ShareOwnership::IsOwnIn(Listing& aListing, const ShareKey& aKey) const
 {
   const auto [found, isNew] = aListing.mIsOwn.try_emplace(aKey, false);
   if (isNew && !aListing.mHosts.empty()) {
-    const auto keeper = KeeperOfShare(aListing.mHosts, aKey);
+    const auto keeper = OwnerOfShare(aListing.mHosts, aKey);
     found->second = aListing.mHosts[keeper] == mOwnHost;
   }
   const bool isOwn = found->second;
--- a/packages/state/src/warming.cpp
+++ b/packages/state/src/warming.cpp
@@ -79,7 +79,7 @@
   std::vector<WarmTask> tasks;
   for (const auto& parameters : aConfig.mParameters) {
     Millis until = kWarmLead + Millis(1);
-    for (const auto& start : parameters.mStarts) {
+    for (const auto& start : parameters.mStartTimes) {
       until = std::min(until, UntilStart(start, aWallMillis));
     }
     const auto model = aConfig.mModels.find(parameters.mModel);
--- a/packages/state/src/watchers.cpp
+++ b/packages/state/src/watchers.cpp
@@ -37,9 +37,9 @@
 } // namespace
 
 std::vector<InstanceInfo>
-WatchersOf(const std::vector<InstanceInfo>& aInstances,
-           std::string_view aZone,
-           std::size_t aCount)
+SelectWatchers(const std::vector<InstanceInfo>& aInstances,
+               std::string_view aZone,
+               std::size_t aCount)
 {
   return FirstCompanions(
     aInstances,
@@ -49,9 +49,9 @@
 }
 
 std::vector<InstanceInfo>
-PeersOf(const std::vector<InstanceInfo>& aInstances,
-        std::string_view aName,
-        std::size_t aCount)
+SelectPeers(const std::vector<InstanceInfo>& aInstances,
+            std::string_view aName,
+            std::size_t aCount)
 {
   return FirstCompanions(
     aInstances, PlacementHash(aName), aCount, [&](const InstanceInfo& aOne) {
@@ -68,7 +68,7 @@
   if (aInstances.size() < aSettings.mAllBelow) {
     return true;
   }
-  const auto watchers = WatchersOf(aInstances, aZone, aSettings.mPerZone);
+  const auto watchers = SelectWatchers(aInstances, aZone, aSettings.mPerZone);
   return watchers.empty() ||
          std::any_of(watchers.begin(), watchers.end(), [&](const auto& aOne) {
            return aOne.mName == aName;
--- a/packages/state/src/zone_watchers.cpp
+++ b/packages/state/src/zone_watchers.cpp
@@ -12,9 +12,9 @@
 } // namespace
 
 std::vector<std::string>
-ZoneWatchersOf(const std::vector<EndpointInfo>& aEndpoints,
-               std::string_view aZone,
-               const ZoneWatcherSettings& aSettings)
+SelectZoneWatchers(const std::vector<EndpointInfo>& aEndpoints,
+                   std::string_view aZone,
+                   const ZoneWatcherSettings& aSettings)
 {
   std::size_t engines = 0;
   std::vector<RendezvousMember> members;
--- a/packages/state/tests/admission_test.cpp
+++ b/packages/state/tests/admission_test.cpp
@@ -89,7 +89,7 @@
   EXPECT_EQ(mQueue.WaitMicros(Priority::kOrdinary), 2000);
   Next();
   EXPECT_EQ(mQueue.WaitMicros(Priority::kOrdinary), 2000);
-  mQueue.FirstToken(2);
+  mQueue.NoteFirstToken(2);
   EXPECT_EQ(mQueue.WaitMicros(Priority::kOrdinary), 1000);
 }
 
@@ -187,7 +187,7 @@
 protected:
   WithOnePrefix()
   {
-    mQueue = AdmissionQueue({ .mSlots = 8, .mFlightWait = Millis(400) });
+    mQueue = AdmissionQueue({ .mSlots = 8, .mMaxPrefixWait = Millis(400) });
   }
 
   AdmissionTicket Missing(PrefixHash aPrefix)
@@ -206,7 +206,7 @@
   EXPECT_EQ(Next(), 1U);
   EXPECT_EQ(Next(), 3U);
   EXPECT_EQ(Next(), 0U);
-  mQueue.FirstToken(1);
+  mQueue.NoteFirstToken(1);
   EXPECT_EQ(Next(), 2U);
 }
 
--- a/packages/state/tests/at_most_once_test.cpp
+++ b/packages/state/tests/at_most_once_test.cpp
@@ -5,7 +5,7 @@
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
-#include "claim_world.h"
+#include "claim_simulation.h"
 #include "schedules.h"
 
 namespace shuntjunction::state::history {
@@ -27,7 +27,7 @@
     record.mNonce = aNonce;
     record.mBodyDigest = aDigest;
     record.mIsDone = aIsDone;
-    mMachine.ReadAnswered(std::optional(record));
+    mMachine.OnReadResult(std::optional(record));
   }
 
   ClaimMachine mMachine{ "mine", "digest" };
@@ -35,19 +35,19 @@
 
 TEST_F(GivenAClaim, AnAnsweredCreateHoldsIt)
 {
-  mMachine.CreateAnswered(7);
-  EXPECT_EQ(mMachine.Step(), ClaimStep::kHandOver);
+  mMachine.OnCreateResult(7);
+  EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
   {
     SCOPED_TRACE("and nothing takes it back");
-    mMachine.OutOfTime();
-    mMachine.CreateAnswered(Failed(ErrorCode::kTimeout));
-    EXPECT_EQ(mMachine.Step(), ClaimStep::kHandOver);
+    mMachine.OnTimeout();
+    mMachine.OnCreateResult(Failed(ErrorCode::kTimeout));
+    EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
   }
 }
 
 TEST_F(GivenAClaim, AConflictIsReadBack)
 {
-  mMachine.CreateAnswered(Failed(ErrorCode::kConflict));
+  mMachine.OnCreateResult(Failed(ErrorCode::kConflict));
   ASSERT_EQ(mMachine.Step(), ClaimStep::kReadBack);
   EXPECT_FALSE(mMachine.MayHaveWritten());
   ReadBack("another's", "digest", true);
@@ -56,14 +56,14 @@
 
 TEST_F(GivenAClaim, AnotherBodyUnderTheSameKeyIsAnError)
 {
-  mMachine.CreateAnswered(Failed(ErrorCode::kConflict));
+  mMachine.OnCreateResult(Failed(ErrorCode::kConflict));
   ReadBack("another's", "another digest", true);
   EXPECT_EQ(mMachine.Step(), ClaimStep::kKeyReused);
 }
 
 TEST_F(GivenAClaim, RecordsSurviveTheirText)
 {
-  ClaimRecord record = mMachine.Own(12345);
+  ClaimRecord record = mMachine.NewRecord(12345);
   record.mIsDone = true;
   record.mStatus = 201;
   record.mContentType = "application/json";
@@ -82,7 +82,7 @@
 protected:
   void SetUp() override
   {
-    mMachine.CreateAnswered(Failed(ErrorCode::kTimeout));
+    mMachine.OnCreateResult(Failed(ErrorCode::kTimeout));
     ASSERT_EQ(mMachine.Step(), ClaimStep::kReadBack);
   }
 };
@@ -90,27 +90,27 @@
 TEST_F(WhoseAnswerWasLost, ItsOwnNonceSettlesIt)
 {
   ReadBack("mine", "digest", false);
-  EXPECT_EQ(mMachine.Step(), ClaimStep::kHandOver);
+  EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
 }
 
 TEST_F(WhoseAnswerWasLost, AnothersNonceSettlesItToo)
 {
   ReadBack("another's", "digest", false);
-  EXPECT_EQ(mMachine.Step(), ClaimStep::kTaken);
+  EXPECT_EQ(mMachine.Step(), ClaimStep::kHeldByOther);
 }
 
 TEST_F(WhoseAnswerWasLost, WhereNothingStandsItIsCreatedAgain)
 {
-  mMachine.ReadAnswered(std::optional<ClaimRecord>());
+  mMachine.OnReadResult(std::optional<ClaimRecord>());
   EXPECT_EQ(mMachine.Step(), ClaimStep::kCreate);
 }
 
 TEST_F(WhoseAnswerWasLost, WithNoMoreTimeItIsNotRun)
 {
-  mMachine.ReadAnswered(
+  mMachine.OnReadResult(
     Fail(ErrorCode::kTimeout, "test", "platform", "no answer"));
   EXPECT_EQ(mMachine.Step(), ClaimStep::kReadBack);
-  mMachine.OutOfTime();
+  mMachine.OnTimeout();
   EXPECT_EQ(mMachine.Step(), ClaimStep::kUndecided);
   EXPECT_TRUE(mMachine.MayHaveWritten());
 }
@@ -120,7 +120,7 @@
 
 TEST_F(GivenARequest, ARefusalLeavesItNotRun)
 {
-  RequestLife life(Repeatability::kClaimed);
+  RequestLifecycle life(Repeatability::kClaimed);
   life.Offered();
   life.Refused();
   EXPECT_TRUE(life.IsNotRun());
@@ -129,7 +129,7 @@
 
 TEST_F(GivenARequest, ALossIsNeverForgotten)
 {
-  RequestLife life(Repeatability::kRepeatable);
+  RequestLifecycle life(Repeatability::kRepeatable);
   life.Offered();
   life.Lost();
   EXPECT_TRUE(life.MayOffer());
@@ -140,7 +140,7 @@
 
 TEST_F(GivenARequest, WhatNothingGuardsIsNotSentAgainAfterALoss)
 {
-  RequestLife life(Repeatability::kUnclaimed);
+  RequestLifecycle life(Repeatability::kUnclaimed);
   life.Offered();
   life.Lost();
   EXPECT_FALSE(life.MayOffer());
@@ -148,7 +148,7 @@
 
 TEST_F(GivenARequest, AClaimedOneIsSentAgainUntilItWasStarted)
 {
-  RequestLife life(Repeatability::kClaimed);
+  RequestLifecycle life(Repeatability::kClaimed);
   life.Offered();
   life.Lost();
   EXPECT_TRUE(life.MayOffer());
@@ -162,7 +162,7 @@
 TEST_F(GivenARequest, ThatOneWasLostIsRememberedWhenItsClaimIsFoundTaken)
 {
   // The claim may then be its own: no earlier request need have taken it.
-  RequestLife life(Repeatability::kClaimed);
+  RequestLifecycle life(Repeatability::kClaimed);
   life.Offered();
   EXPECT_FALSE(life.WasLost());
   life.Lost();
@@ -174,7 +174,7 @@
 
 TEST_F(GivenARequest, LateNewsAfterItsEndChangesNothing)
 {
-  RequestLife life(Repeatability::kRepeatable);
+  RequestLifecycle life(Repeatability::kRepeatable);
   life.Offered();
   life.Finished();
   life.Lost();
@@ -186,7 +186,7 @@
               NoKeyRunsTwiceAndNotRunIsTrue,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  const History history = ClaimWorld(ClaimMechanisms{}).Run(aSchedule);
+  const History history = ClaimSimulation(ClaimMechanisms{}).Run(aSchedule);
   RC_ASSERT(CheckAtMostOnce(history).empty());
   RC_ASSERT(CheckNotRunIsTrue(history).empty());
 }
@@ -205,8 +205,8 @@
   {
     constexpr int kSchedules = 5000;
     Found found;
-    ForSchedules(kSchedules, [&](const auto& aSchedule) {
-      const History history = ClaimWorld(aMechanisms).Run(aSchedule);
+    ForEachSchedule(kSchedules, [&](const auto& aSchedule) {
+      const History history = ClaimSimulation(aMechanisms).Run(aSchedule);
       found.mTwice += CheckAtMostOnce(history).empty() ? 0 : 1;
       found.mFalseNotRun += CheckNotRunIsTrue(history).empty() ? 0 : 1;
     });
--- a/packages/state/tests/claim_retention_test.cpp
+++ b/packages/state/tests/claim_retention_test.cpp
@@ -52,7 +52,7 @@
     ClaimRecord record;
     record.mNonce = "n";
     record.mBodyDigest = "d";
-    record.mAtMillis = kNow - aAge;
+    record.mCreatedAtMillis = kNow - aAge;
     mObjects.push_back(
       { "claims/000/t/" + std::to_string(aAge), 1, WriteClaimRecord(record) });
   }
--- a/packages/state/tests/claim_world.cpp
+++ b/packages/state/tests/claim_simulation.cpp
@@ -1,4 +1,4 @@
-#include "claim_world.h"
+#include "claim_simulation.h"
 
 namespace shuntjunction::state::history {
 
@@ -31,17 +31,17 @@
 
 } // namespace
 
-struct ClaimWorld::Request
+struct ClaimSimulation::Request
 {
   int mId = 0;
   std::string mKey;
   std::string mBody;
-  RequestLife mLife{ Repeatability::kClaimed };
+  RequestLifecycle mLife{ Repeatability::kClaimed };
   bool mIsRouterDead = false;
   Attempt* mOpen = nullptr;
 };
 
-struct ClaimWorld::Attempt
+struct ClaimSimulation::Attempt
 {
   Request* mRequest = nullptr; ///< null when the router no longer listens
   int mRequestId = 0;
@@ -51,7 +51,7 @@
   bool mIsDead = false;
 };
 
-struct ClaimWorld::Release
+struct ClaimSimulation::Release
 {
   std::string mKey;
   std::string mNonce;
@@ -59,15 +59,15 @@
   bool mIsDone = false;
 };
 
-ClaimWorld::ClaimWorld(const ClaimMechanisms& aMechanisms)
+ClaimSimulation::ClaimSimulation(const ClaimMechanisms& aMechanisms)
   : mMechanisms(aMechanisms)
 {
 }
 
-ClaimWorld::~ClaimWorld() = default;
+ClaimSimulation::~ClaimSimulation() = default;
 
 void
-ClaimWorld::Begin(std::uint8_t aChoice)
+ClaimSimulation::Begin(std::uint8_t aChoice)
 {
   if (mRequests.size() >= kMaxRequests) {
     return;
@@ -80,7 +80,7 @@
 }
 
 void
-ClaimWorld::Offer(Request& aRequest)
+ClaimSimulation::Offer(Request& aRequest)
 {
   if (aRequest.mIsRouterDead || !aRequest.mLife.MayOffer()) {
     return;
@@ -98,7 +98,7 @@
 }
 
 Result<std::uint64_t>
-ClaimWorld::Create(const std::string& aKey, const ClaimRecord& aRecord)
+ClaimSimulation::Create(const std::string& aKey, const ClaimRecord& aRecord)
 {
   if (mPlatform.contains(aKey)) {
     return Fail(ErrorCode::kConflict, "test", "platform", "exists");
@@ -108,13 +108,13 @@
 }
 
 void
-ClaimWorld::StepCreate(Attempt& aAttempt, std::uint8_t aChoice)
+ClaimSimulation::StepCreate(Attempt& aAttempt, std::uint8_t aChoice)
 {
   ClaimMachine& machine = *aAttempt.mMachine;
-  const ClaimRecord record = machine.Own(0);
+  const ClaimRecord record = machine.NewRecord(0);
   switch (FateOf(aChoice)) {
     case PlatformFate::kAnswers:
-      machine.CreateAnswered(Create(aAttempt.mKey, record));
+      machine.OnCreateResult(Create(aAttempt.mKey, record));
       return;
     case PlatformFate::kAnswerIsLost:
       Create(aAttempt.mKey, record);
@@ -125,22 +125,22 @@
       mDelayed.push_back({ aAttempt.mKey, record });
       break;
     case PlatformFate::kIsDown:
-      machine.CreateAnswered(
+      machine.OnCreateResult(
         Fail(ErrorCode::kUnavailable, "test", "platform", "down"));
       return;
   }
   if (!mMechanisms.mReadsBack) {
-    machine.CreateAnswered(++mRevision); // It trusts that it was written.
+    machine.OnCreateResult(++mRevision); // It trusts that it was written.
     return;
   }
-  machine.CreateAnswered(NoAnswer());
+  machine.OnCreateResult(NoAnswer());
 }
 
 void
-ClaimWorld::StepReadBack(Attempt& aAttempt, std::uint8_t aChoice)
+ClaimSimulation::StepReadBack(Attempt& aAttempt, std::uint8_t aChoice)
 {
   if (FateOf(aChoice) != PlatformFate::kAnswers) {
-    aAttempt.mMachine->ReadAnswered(NoAnswer());
+    aAttempt.mMachine->OnReadResult(NoAnswer());
     return;
   }
   const auto stored = mPlatform.find(aAttempt.mKey);
@@ -148,11 +148,11 @@
   if (stored != mPlatform.end()) {
     record = stored->second.mRecord;
   }
-  aAttempt.mMachine->ReadAnswered(record);
+  aAttempt.mMachine->OnReadResult(record);
 }
 
 void
-ClaimWorld::EndAttempt(Attempt& aAttempt)
+ClaimSimulation::EndAttempt(Attempt& aAttempt)
 {
   aAttempt.mIsDead = true;
   if (aAttempt.mRequest != nullptr) {
@@ -161,7 +161,7 @@
 }
 
 void
-ClaimWorld::RefuseNotRun(Attempt& aAttempt)
+ClaimSimulation::RefuseNotRun(Attempt& aAttempt)
 {
   if (aAttempt.mRequest != nullptr) {
     aAttempt.mRequest->mLife.Refused();
@@ -174,7 +174,7 @@
 }
 
 void
-ClaimWorld::StepHandOver(Attempt& aAttempt, std::uint8_t aChoice)
+ClaimSimulation::StepHandOver(Attempt& aAttempt, std::uint8_t aChoice)
 {
   const bool isLate = aChoice % 4 == 3;
   if (isLate && mMechanisms.mChecksDeadline) {
@@ -207,7 +207,7 @@
 }
 
 void
-ClaimWorld::Step(Attempt& aAttempt, std::uint8_t aChoice)
+ClaimSimulation::Step(Attempt& aAttempt, std::uint8_t aChoice)
 {
   if (aAttempt.mIsDead) {
     return;
@@ -218,7 +218,7 @@
     return;
   }
   if (aChoice % 16 == 15) {
-    machine.OutOfTime();
+    machine.OnTimeout();
   }
   switch (machine.Step()) {
     case ClaimStep::kCreate:
@@ -227,7 +227,7 @@
     case ClaimStep::kReadBack:
       StepReadBack(aAttempt, aChoice);
       return;
-    case ClaimStep::kHandOver:
+    case ClaimStep::kExecute:
       StepHandOver(aAttempt, aChoice);
       return;
     case ClaimStep::kUndecided:
@@ -240,7 +240,7 @@
       }
       EndAttempt(aAttempt);
       return;
-    case ClaimStep::kTaken:
+    case ClaimStep::kHeldByOther:
     case ClaimStep::kKeyReused:
       if (aAttempt.mRequest != nullptr) {
         aAttempt.mRequest->mLife.Settled();
@@ -251,7 +251,7 @@
 }
 
 void
-ClaimWorld::StepRelease(Release& aRelease)
+ClaimSimulation::StepRelease(Release& aRelease)
 {
   if (aRelease.mIsDone) {
     return;
@@ -278,7 +278,7 @@
 }
 
 void
-ClaimWorld::Tell(Request& aRequest)
+ClaimSimulation::Tell(Request& aRequest)
 {
   if (aRequest.mIsRouterDead) {
     return; // Its caller hears nothing, which says nothing.
@@ -299,7 +299,7 @@
 }
 
 History
-ClaimWorld::Run(const std::vector<std::uint8_t>& aSchedule)
+ClaimSimulation::Run(const std::vector<std::uint8_t>& aSchedule)
 {
   const auto pick = [](auto& aList, std::uint8_t aChoice) -> auto* {
     return aList.empty() ? nullptr : aList[aChoice % aList.size()].get();
--- a/packages/state/tests/claim_world.h
+++ b/packages/state/tests/claim_simulation.h
@@ -9,7 +9,7 @@
 
 #include "history.h"
 #include "shuntjunction/state/claim_machine.h"
-#include "shuntjunction/state/request_life.h"
+#include "shuntjunction/state/request_lifecycle.h"
 
 /// Routers, companions and a platform that run not-repeatable requests, step
 /// by step as a schedule says.
@@ -30,13 +30,13 @@
 /// Each byte of a schedule is one step: a new request, an offer, a step of a
 /// companion with an answer, a lost answer or a late one, a crash, a loss of
 /// patience, a delayed write that takes effect.
-class ClaimWorld
+class ClaimSimulation
 {
 public:
-  explicit ClaimWorld(const ClaimMechanisms& aMechanisms);
-  ~ClaimWorld();
-  ClaimWorld(const ClaimWorld&) = delete;
-  ClaimWorld& operator=(const ClaimWorld&) = delete;
+  explicit ClaimSimulation(const ClaimMechanisms& aMechanisms);
+  ~ClaimSimulation();
+  ClaimSimulation(const ClaimSimulation&) = delete;
+  ClaimSimulation& operator=(const ClaimSimulation&) = delete;
 
   /// Runs the schedule to its end and tells every caller how it ended.
   History Run(const std::vector<std::uint8_t>& aSchedule);
--- a/packages/state/tests/config_test.cpp
+++ b/packages/state/tests/config_test.cpp
@@ -323,7 +323,7 @@
   /// The changes since a version where they reach back, or all.
   static std::string PeerText(const ConfigStore& aPeer, ConfigVersion aHave)
   {
-    auto text = aPeer.Recent().TextSince(aHave.mEpoch, aHave.mRevision);
+    auto text = aPeer.Recent().SerializeSince(aHave.mEpoch, aHave.mRevision);
     return text.empty() ? aPeer.Serialize() : text;
   }
 
--- a/packages/state/tests/crash_ledger_test.cpp
+++ b/packages/state/tests/crash_tracker_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "shuntjunction/state/crash_ledger.h"
+#include "shuntjunction/state/crash_tracker.h"
 
 namespace shuntjunction::state {
 namespace {
@@ -29,8 +29,8 @@
     return mLedger.QuarantineLeft(aRequest, mClock.Now()) > Millis(0);
   }
 
-  CrashLedgerSettings mSettings;
-  CrashLedger mLedger{ mSettings };
+  CrashTrackerSettings mSettings;
+  CrashTracker mLedger{ mSettings };
   ManualClock mClock;
   const RequestDigest mCulprit = Request(1);
 };
@@ -48,12 +48,12 @@
 TEST_F(GivenACrashLedger, OneCrashSeenByManyIsOne)
 {
   EXPECT_TRUE(Crash(mCulprit, 10));
-  mClock.Advance(mSettings.mSameCrash / 2);
+  mClock.Advance(mSettings.mDuplicateWindow / 2);
   EXPECT_FALSE(Crash(mCulprit, 10));
   EXPECT_EQ(mLedger.Crashes(mCulprit, mClock.Now()), 1);
   {
     SCOPED_TRACE("the same endpoint crashes again later");
-    mClock.Advance(mSettings.mSameCrash);
+    mClock.Advance(mSettings.mDuplicateWindow);
     EXPECT_TRUE(Crash(mCulprit, 10));
   }
 }
@@ -83,7 +83,7 @@
 {
   Crash(mCulprit, 10);
   Crash(mCulprit, 11);
-  mClock.Advance(mSettings.mMemory);
+  mClock.Advance(mSettings.mSuspicionPeriod);
   EXPECT_EQ(mLedger.Crashes(mCulprit, mClock.Now()), 0);
   Crash(mCulprit, 12);
   EXPECT_FALSE(IsRefused(mCulprit));
@@ -135,7 +135,7 @@
     mClock.Advance(std::chrono::seconds(4));
   }
   Crash(Request(2), 2);
-  CrashLedger other(mSettings);
+  CrashTracker other(mSettings);
   for (const auto& report : mLedger.Reports(mClock.Now())) {
     other.Note(report.mReport, mClock.Now() - report.mAge);
   }
--- a/packages/state/tests/descriptor_budget_test.cpp
+++ b/packages/state/tests/descriptor_budget_test.cpp
@@ -14,28 +14,28 @@
 
 TEST_F(GivenABudgetOfDescriptors, CallersGetHalfOfWhatIsNotReserved)
 {
-  EXPECT_EQ(mBudget.MostCallers(), 350);
+  EXPECT_EQ(mBudget.MaxCallers(), 350);
 }
 
 TEST_F(GivenABudgetOfDescriptors, EndpointsGetWhatCallersLeave)
 {
-  EXPECT_EQ(mBudget.MostToEndpoints(0), 700);
-  EXPECT_EQ(mBudget.MostToEndpoints(200), 500);
-  EXPECT_EQ(mBudget.MostToEndpoints(5000), 350);
+  EXPECT_EQ(mBudget.MaxEndpointConnections(0), 700);
+  EXPECT_EQ(mBudget.MaxEndpointConnections(200), 500);
+  EXPECT_EQ(mBudget.MaxEndpointConnections(5000), 350);
 }
 
 TEST_F(GivenABudgetOfDescriptors, PeersTakeFromBoth)
 {
   mBudget.SetPeers(100);
-  EXPECT_EQ(mBudget.MostCallers(), 300);
-  EXPECT_EQ(mBudget.MostToEndpoints(300), 300);
+  EXPECT_EQ(mBudget.MaxCallers(), 300);
+  EXPECT_EQ(mBudget.MaxEndpointConnections(300), 300);
 }
 
 TEST_F(GivenABudgetOfDescriptors, WhoeverHasTooFewStillServesOne)
 {
   mBudget.SetPeers(100000);
-  EXPECT_EQ(mBudget.MostCallers(), 1);
-  EXPECT_EQ(mBudget.MostToEndpoints(1), 1);
+  EXPECT_EQ(mBudget.MaxCallers(), 1);
+  EXPECT_EQ(mBudget.MaxEndpointConnections(1), 1);
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_availability_model_test.cpp
+++ b/packages/state/tests/endpoint_availability_model_test.cpp
@@ -42,7 +42,7 @@
 /// One incarnation as it really is.
 struct Incarnation
 {
-  EndpointLife mLife;
+  EndpointIncarnation mEndpointIncarnation;
   TimePoint mFrom;
   bool mIsDraining = false;
   TimePoint mRefusesUntil;
@@ -62,7 +62,7 @@
     , mRandom(aSeed)
   {
     Restart();
-    TakeList({ mEndpoint->mLife, true });
+    MergeList({ mEndpoint->mEndpointIncarnation, true });
   }
 
   void Run(std::chrono::seconds aTime)
@@ -90,7 +90,7 @@
 private:
   struct Listing
   {
-    EndpointLife mLife;
+    EndpointIncarnation mEndpointIncarnation;
     bool mIsListed = true;
   };
 
@@ -154,9 +154,9 @@
     }
     if (Chance(0.004)) {
       // A list as it was some time ago, or one without a lapsed entry.
-      const Listing listing{ mEndpoint->mLife, !Chance(0.2) };
+      const Listing listing{ mEndpoint->mEndpointIncarnation, !Chance(0.2) };
       In(Draw(0, kLatestList),
-         [this, listing] { OnRelay([=, this] { TakeList(listing); }); });
+         [this, listing] { OnRelay([=, this] { MergeList(listing); }); });
     }
     if (Chance(0.0003)) {
       mSuspendedUntil = mClock.Now() + Draw(200, 5000);
@@ -167,35 +167,38 @@
   void Restart()
   {
     mEndpoint = std::make_shared<Incarnation>();
-    mEndpoint->mLife = EndpointLife(mClock.WallMillis());
+    mEndpoint->mEndpointIncarnation = EndpointIncarnation(mClock.WallMillis());
     mEndpoint->mFrom = mClock.Now();
-    const Listing listing{ mEndpoint->mLife, true };
+    const Listing listing{ mEndpoint->mEndpointIncarnation, true };
     In(Chance(0.5) ? Draw(0, kLongestAnswer) : Draw(0, kLatestList),
-       [this, listing] { OnRelay([=, this] { TakeList(listing); }); });
+       [this, listing] { OnRelay([=, this] { MergeList(listing); }); });
   }
 
   // The relay.
 
-  void TakeList(const Listing& aListing)
+  void MergeList(const Listing& aListing)
   {
     if (!aListing.mIsListed) {
       mBook.NoteRemoved("i-1");
       if (mWithout == Without::kMemoryOfRemoved) {
-        mBook = AvailabilityBook();
+        mBook = AvailabilityRegistry();
       }
       mBelieved = nullptr;
       // The next heartbeat lists it again.
       In(Draw(100, 2000), [this] {
-        OnRelay([this] { TakeList({ mEndpoint->mLife, true }); });
+        OnRelay([this] {
+          MergeList({ mEndpoint->mEndpointIncarnation, true });
+        });
       });
       return;
     }
     if (!mBelieved) {
-      mTracker = LifeTracker();
-      mBelieved = mBook.Find("i-1", aListing.mLife);
+      mTracker = IncarnationTracker();
+      mBelieved = mBook.Find("i-1", aListing.mEndpointIncarnation);
     }
-    const auto word = mTracker.Take(aListing.mLife, mClock.Now());
-    if (word == LifeWord::kNewer) {
+    const auto word =
+      mTracker.Take(aListing.mEndpointIncarnation, mClock.Now());
+    if (word == IncarnationUpdate::kNewer) {
       mBelieved = mBook.Begin("i-1", mTracker.Current());
     }
     mBelieved->SetListing(true, false);
@@ -211,14 +214,14 @@
     In(wait, [this, chosen] { OnRelay([this, chosen] { Send(chosen); }); });
   }
 
-  void Send(const AvailabilityBook::Ptr& aChosen)
+  void Send(const AvailabilityRegistry::Ptr& aChosen)
   {
     const auto obstacle = aChosen->ObstacleAtSend(mClock.Now(), {});
     if (obstacle != Obstacle::kNone && mWithout != Without::kAskingAtTheSend) {
       return;
     }
     const auto clearance =
-      std::make_shared<SendClearance>(aChosen->Clear(mClock.Now()));
+      std::make_shared<SendClearance>(aChosen->GrantClearance(mClock.Now()));
     const auto there = mEndpoint;
     Arrive(*there);
     EndpointNotice notice;
@@ -238,7 +241,7 @@
     });
   }
 
-  void TakeAnswer(const AvailabilityBook::Ptr& aChosen,
+  void TakeAnswer(const AvailabilityRegistry::Ptr& aChosen,
                   const IncarnationPtr& aFrom,
                   const EndpointNotice& aNotice,
                   TimePoint aRefusedAt)
@@ -253,7 +256,8 @@
     }
     belief->Take(aNotice, mClock.Now(), mClock.WallMillis());
     // The answer is attributed to the incarnation that was chosen.
-    if (mTracker.Current() != aFrom->mLife || aChosen != mBelieved) {
+    if (mTracker.Current() != aFrom->mEndpointIncarnation ||
+        aChosen != mBelieved) {
       return;
     }
     if (aNotice.mIsDraining && !aFrom->mDrainHeardAt) {
@@ -302,9 +306,9 @@
   std::priority_queue<Later> mQueue;
   std::uint64_t mOrder = 0;
   IncarnationPtr mEndpoint;
-  AvailabilityBook mBook;
-  AvailabilityBook::Ptr mBelieved; ///< null: nothing is listed
-  LifeTracker mTracker;
+  AvailabilityRegistry mBook;
+  AvailabilityRegistry::Ptr mBelieved; ///< null: nothing is listed
+  IncarnationTracker mTracker;
   TimePoint mSuspendedUntil;
   TimePoint mExcusedUntil;
   bool mIsBroken = false;
--- a/packages/state/tests/endpoint_availability_test.cpp
+++ b/packages/state/tests/endpoint_availability_test.cpp
@@ -111,13 +111,16 @@
   ThatAskedForACooldown() { EXPECT_EQ(Take(Cooldown(kTime)).mCooldown, kTime); }
 
   /// Sends a request that is not answered yet.
-  void SendUnanswered() { mSent.push_back(mEndpoint.Clear(mClock.Now())); }
+  void SendUnanswered()
+  {
+    mSent.push_back(mEndpoint.GrantClearance(mClock.Now()));
+  }
 
   /// Sends a request, which is answered at once.
   void SendOne(bool aIsAccepted)
   {
     ASSERT_EQ(Now(), Obstacle::kNone);
-    mEndpoint.Settle(mEndpoint.Clear(mClock.Now()), aIsAccepted);
+    mEndpoint.Settle(mEndpoint.GrantClearance(mClock.Now()), aIsAccepted);
   }
 
   std::vector<SendClearance> mSent;
@@ -200,7 +203,7 @@
 
 TEST_F(WhoseCooldownIsOver, ANewOneBeginsTheRecoveryAnew)
 {
-  auto former = mEndpoint.Clear(mClock.Now());
+  auto former = mEndpoint.GrantClearance(mClock.Now());
   Take(Cooldown(kTime));
   mClock.Advance(kTime);
   SendUnanswered();
@@ -211,9 +214,9 @@
 class GivenABookOfEndpoints : public ::testing::Test
 {
 protected:
-  AvailabilityBook mBook;
-  const EndpointLife mFirst{ 1000 };
-  const EndpointLife mSecond{ 2000 };
+  AvailabilityRegistry mBook;
+  const EndpointIncarnation mFirst{ 1000 };
+  const EndpointIncarnation mSecond{ 2000 };
 };
 
 TEST_F(GivenABookOfEndpoints, AnEntryThatLapsedAndCameBackIsStillDraining)
@@ -231,7 +234,7 @@
 {
   mBook.Find("i-1", mSecond)->Take(Drain(), TimePoint(), 0);
   mBook.NoteRemoved("i-1");
-  for (const auto life : { mFirst, EndpointLife() }) {
+  for (const auto life : { mFirst, EndpointIncarnation() }) {
     EXPECT_TRUE(mBook.Find("i-1", life)->IsDraining());
   }
 }
--- a/packages/state/tests/endpoint_life_test.cpp
+++ b/packages/state/tests/endpoint_incarnation_test.cpp
@@ -4,16 +4,16 @@
 #include <gtest/gtest.h>
 
 #include "shuntjunction/state/endpoint_directory.h"
-#include "shuntjunction/state/endpoint_life.h"
-#include "shuntjunction/state/part_ledger.h"
+#include "shuntjunction/state/endpoint_incarnation.h"
+#include "shuntjunction/state/part_record_table.h"
 
 namespace shuntjunction::state {
 namespace {
 
 using namespace std::chrono_literals;
 
-const EndpointLife kFirst(1'000);
-const EndpointLife kSecond(2'000);
+const EndpointIncarnation kFirst(1'000);
+const EndpointIncarnation kSecond(2'000);
 
 } // namespace
 
@@ -22,29 +22,29 @@
 protected:
   GivenALife() { mTracker.Take(kFirst, mClock.Now()); }
 
-  LifeWord Hear(EndpointLife aLife)
+  IncarnationUpdate Hear(EndpointIncarnation aLife)
   {
     return mTracker.Take(aLife, mClock.Now());
   }
 
   ManualClock mClock;
-  LifeTracker mTracker;
+  IncarnationTracker mTracker;
 };
 
 TEST_F(GivenALife, ItsOwnWordsAreOfTheSame)
 {
-  EXPECT_EQ(Hear(kFirst), LifeWord::kSame);
+  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kSame);
 }
 
 TEST_F(GivenALife, AnEndpointThatTellsNoStartIsTakenAsTheSame)
 {
-  EXPECT_EQ(Hear(EndpointLife()), LifeWord::kSame);
+  EXPECT_EQ(Hear(EndpointIncarnation()), IncarnationUpdate::kSame);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
 TEST_F(GivenALife, ALaterStartIsBelievedAtOnce)
 {
-  EXPECT_EQ(Hear(kSecond), LifeWord::kNewer);
+  EXPECT_EQ(Hear(kSecond), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kSecond);
 }
 
@@ -56,16 +56,16 @@
 
 TEST_F(ThatAnotherFollowed, WordsOfTheFormerThatComeLateChangeNothing)
 {
-  EXPECT_EQ(Hear(kFirst), LifeWord::kFormer);
+  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
   EXPECT_EQ(mTracker.Current(), kSecond);
 }
 
 TEST_F(ThatAnotherFollowed, NorDoTheyWhileTheOtherIsHeardToo)
 {
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(Hear(kFirst), LifeWord::kFormer);
+    EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
     mClock.Advance(1s);
-    EXPECT_EQ(Hear(kSecond), LifeWord::kSame);
+    EXPECT_EQ(Hear(kSecond), IncarnationUpdate::kSame);
   }
 }
 
@@ -73,17 +73,17 @@
 // later life names the earlier moment.
 TEST_F(ThatAnotherFollowed, AnEarlierStartIsBelievedOnceOnlyThatIsHeard)
 {
-  EXPECT_EQ(Hear(kFirst), LifeWord::kFormer);
-  mClock.Advance(kFormerLifeGrace - 1ms);
-  EXPECT_EQ(Hear(kFirst), LifeWord::kFormer);
+  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
+  mClock.Advance(kFormerIncarnationGrace - 1ms);
+  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
   mClock.Advance(1ms);
-  EXPECT_EQ(Hear(kFirst), LifeWord::kNewer);
+  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
 TEST_F(ThatAnotherFollowed, WhatTheEndpointAnswersItselfIsBelievedAtOnce)
 {
-  EXPECT_EQ(mTracker.TakeOwnWord(kFirst), LifeWord::kNewer);
+  EXPECT_EQ(mTracker.TakeSelfReport(kFirst), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
@@ -92,12 +92,14 @@
 protected:
   GivenAListedEndpoint() { Put(kFirst, 5); }
 
-  void Put(EndpointLife aLife, std::uint64_t aRevision, bool aIsLeaving = false)
+  void Put(EndpointIncarnation aLife,
+           std::uint64_t aRevision,
+           bool aIsLeaving = false)
   {
     EndpointInfo info;
     info.mId = "a";
     info.mAddress = "1:" + std::to_string(aRevision);
-    info.mLife = aLife;
+    info.mEndpointIncarnation = aLife;
     info.mRevision = aRevision;
     info.mIsLeaving = aIsLeaving;
     mDirectory.Put(info, mClock.Now());
@@ -112,7 +114,7 @@
 TEST_F(GivenAListedEndpoint, ItsNextLifeTakesItsPlace)
 {
   Put(kSecond, 6);
-  EXPECT_EQ(Listed().mLife, kSecond);
+  EXPECT_EQ(Listed().mEndpointIncarnation, kSecond);
   EXPECT_EQ(Listed().mAddress, "1:6");
 }
 
@@ -121,11 +123,11 @@
   Put(kSecond, 6);
   Put(kFirst, 7);
   EXPECT_EQ(Listed().mAddress, "1:6");
-  EXPECT_EQ(mDirectory.FormerWords(), 1U);
+  EXPECT_EQ(mDirectory.StaleReports(), 1U);
   {
     SCOPED_TRACE("a list that holds it is no further word");
     Put(kFirst, 7);
-    EXPECT_EQ(mDirectory.FormerWords(), 1U);
+    EXPECT_EQ(mDirectory.StaleReports(), 1U);
   }
   {
     SCOPED_TRACE("the life itself writes again");
@@ -149,9 +151,9 @@
 {
   Put(kSecond, 6);
   Put(kFirst, 7);
-  mClock.Advance(kFormerLifeGrace);
+  mClock.Advance(kFormerIncarnationGrace);
   EXPECT_TRUE(mDirectory.Expire(mClock.Now()));
-  EXPECT_EQ(Listed().mLife, kFirst);
+  EXPECT_EQ(Listed().mEndpointIncarnation, kFirst);
   EXPECT_EQ(Listed().mAddress, "1:7");
 }
 
@@ -169,15 +171,15 @@
 {
   ManualClock clock;
   clock.Advance(1s);
-  PartLedger ledger(8);
+  PartRecordTable ledger(8);
   for (const char* reader : { "a", "b" }) {
     auto& record = ledger.At(std::string("part of ") + reader);
-    record.mReadingFrom = clock.Now();
-    record.mReader = reader;
+    record.mPrefillStartedAt = clock.Now();
+    record.mPrefillEndpoint = reader;
   }
-  ledger.ForgetReader("a");
-  EXPECT_FALSE(ledger.At("part of a").IsBeingRead());
-  EXPECT_TRUE(ledger.At("part of b").IsBeingRead());
+  ledger.ForgetPrefillsOf("a");
+  EXPECT_FALSE(ledger.At("part of a").IsPrefilling());
+  EXPECT_TRUE(ledger.At("part of b").IsPrefilling());
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_limit_model_test.cpp
+++ b/packages/state/tests/endpoint_limit_model_test.cpp
@@ -133,7 +133,7 @@
   {
     return std::make_unique<EndpointLimits>(
       EndpointLimitsSettings{},
-      mListings,
+      mOwnership,
       static_cast<std::uint32_t>(mRandom()));
   }
 
@@ -188,7 +188,7 @@
         AtRelay(aRelay, Draw(1, 12), [this, aRelay, grant, askedAt] {
           const bool isInTime = mClock.Now() - askedAt < Millis(100);
           if (grant.mIsGiven && isInTime) {
-            Send(aRelay, grant.mEdition);
+            Send(aRelay, grant.mRateVersion);
           }
         });
       });
@@ -321,7 +321,7 @@
   Without mWithout;
   ManualClock mClock;
   std::mt19937_64 mRandom;
-  KeeperListings mListings{ {}, "10.0.0.1" };
+  ShareOwnership mOwnership{ {}, "10.0.0.1" };
   std::unique_ptr<EndpointLimits> mKeeper;
   std::vector<Relay> mRelays;
   std::vector<RatePeriod> mRates;
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -7,7 +7,7 @@
 
 #include "shuntjunction/state/endpoint_limits.h"
 #include "shuntjunction/state/relay_choice.h"
-#include "shuntjunction/state/return_schedule.h"
+#include "shuntjunction/state/retry_schedule.h"
 
 namespace shuntjunction::state {
 
@@ -54,8 +54,8 @@
   }
 
   ManualClock mClock;
-  KeeperListings mListings{ {}, "10.0.0.1" };
-  EndpointLimits mLimits{ {}, mListings, 100 };
+  ShareOwnership mOwnership{ {}, "10.0.0.1" };
+  EndpointLimits mLimits{ {}, mOwnership, 100 };
 };
 
 TEST_F(GivenAKeeper, TheFirstAnswerThatNamesARateIsNewsForAllRelays)
@@ -132,7 +132,7 @@
   mClock.Advance(Millis(500));
   const auto grant = Ask();
   ASSERT_TRUE(grant.mIsGiven);
-  const auto news = Note({}, grant.mEdition);
+  const auto news = Note({}, grant.mRateVersion);
   ASSERT_TRUE(news);
   EXPECT_FALSE(news->mPerSecond);
   EXPECT_TRUE(mLimits.Known().empty());
@@ -143,7 +143,7 @@
   mClock.Advance(Millis(500));
   const auto grant = Ask();
   Note(Named(2.0));
-  EXPECT_FALSE(Note({}, grant.mEdition));
+  EXPECT_FALSE(Note({}, grant.mRateVersion));
   {
     SCOPED_TRACE("nor one whose request went without a place");
     EXPECT_FALSE(Note({}, 0));
@@ -174,15 +174,15 @@
 {
   const LimitedEndpoint plain{ 7, false };
   EXPECT_FALSE(Note(Named(2.0), 0, plain));
-  mListings.SetHosts({ "10.0.0.1" }, mClock.Now());
+  mOwnership.SetHosts({ "10.0.0.1" }, mClock.Now());
   EXPECT_TRUE(Note(Named(2.0), 0, plain));
   mClock.Advance(Millis(500));
   EXPECT_TRUE(Ask(true, plain).mIsGiven);
   {
     SCOPED_TRACE("and forgets it when another keeps it");
     mClock.Advance(Millis(5000));
-    mListings.SetHosts({ "10.0.0.2" }, mClock.Now());
-    mLimits.ForgetOthers();
+    mOwnership.SetHosts({ "10.0.0.2" }, mClock.Now());
+    mLimits.ForgetUnowned();
     EXPECT_TRUE(mLimits.Known().empty());
     EXPECT_FALSE(Ask(true, plain).mIsGiven);
   }
@@ -199,14 +199,14 @@
 
 TEST(GivenAnEndpoint, AnotherLifeOfItHasNamedNothing)
 {
-  EXPECT_NE(HashOfLife("i-1", EndpointLife(1)),
-            HashOfLife("i-1", EndpointLife(2)));
+  EXPECT_NE(HashOfIncarnation("i-1", EndpointIncarnation(1)),
+            HashOfIncarnation("i-1", EndpointIncarnation(2)));
 }
 
 TEST(GivenCallersWithoutAPlace, TheyComeBackAsFastAsAllRelaysMaySend)
 {
   const TimePoint now;
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(300));
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(2300));
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(4300));
@@ -239,7 +239,7 @@
     for (std::uint64_t key = 0; key < 100; ++key) {
       isUsed |= ChooseByPart(mCandidates, key, {}) == 0U;
       isUsed |= ChooseByLoad(mCandidates, key, {}, random) == 0U;
-      isUsed |= ChooseApart(mCandidates, key, {}) == 0U;
+      isUsed |= ChooseForSuspect(mCandidates, key, {}) == 0U;
     }
     return isUsed;
   }
--- a/packages/state/tests/endpoint_silence_test.cpp
+++ b/packages/state/tests/endpoint_silence_test.cpp
@@ -9,16 +9,16 @@
 class GivenAnEndpointAndItsCompanion : public ::testing::Test
 {
 protected:
-  GivenAnEndpointAndItsCompanion() { mSigns.mHasWord = true; }
+  GivenAnEndpointAndItsCompanion() { mSigns.mHasCompanionMessage = true; }
 
   bool IsSilentAfter(Millis aSinceWord, Millis aSinceBytes)
   {
-    mSigns.mSinceWord = aSinceWord;
-    mSigns.mSinceBytes = aSinceBytes;
+    mSigns.mSinceCompanionMessage = aSinceWord;
+    mSigns.mSinceEndpointBytes = aSinceBytes;
     return IsSilent(mSigns);
   }
 
-  LifeSigns mSigns;
+  LivenessSignals mSigns;
 };
 
 TEST_F(GivenAnEndpointAndItsCompanion, AWordThatIsDueIsNoSilence)
@@ -33,20 +33,20 @@
 
 TEST_F(GivenAnEndpointAndItsCompanion, OneThatNeverSpokeTellsNothing)
 {
-  mSigns.mHasWord = false;
+  mSigns.mHasCompanionMessage = false;
   EXPECT_FALSE(IsSilentAfter(Millis(60000), Millis(9000)));
 }
 
 TEST_F(GivenAnEndpointAndItsCompanion, ACompanionThatEndedTellsNothingOfIt)
 {
-  mSigns.mIsWordEnded = true;
+  mSigns.mIsCompanionClosed = true;
   EXPECT_FALSE(IsSilentAfter(Millis(60000), Millis(9000)));
 }
 
 class WhereARequestWaits : public GivenAnEndpointAndItsCompanion
 {
 protected:
-  WhereARequestWaits() { mSigns.mIsAwaited = true; }
+  WhereARequestWaits() { mSigns.mHasPendingRequest = true; }
 };
 
 TEST_F(WhereARequestWaits, BytesProveItsLifeWhateverItsCompanionDoes)
--- a/packages/state/tests/engine_model.h
+++ b/packages/state/tests/engine_simulation.h
@@ -5,14 +5,14 @@
 #include <vector>
 
 #include "shuntjunction/state/first_token.h"
-#include "shuntjunction/state/late_queue.h"
+#include "shuntjunction/state/late_requests.h"
 #include "shuntjunction/state/waiting_tokens.h"
 
 /// An engine in virtual time, and callers who ask it by the real decisions.
 namespace shuntjunction::state {
 
 /// A request as the model plays it.
-struct ModelRequest
+struct SimulatedRequest
 {
   Millis mArrival{ 0 };
   std::int64_t mTokens = 0;
@@ -26,38 +26,40 @@
   bool IsInTime() const { return mFirst && *mFirst - mArrival <= mObjective; }
 
   /// Whether its caller waited as long as it could, and got nothing.
-  bool IsInVain() const { return !mFirst && !mIsRefused; }
+  bool IsAbandoned() const { return !mFirst && !mIsRefused; }
 
   bool IsBehind() const { return mSentUrgency > mUrgency; }
   TimePoint SentAt() const { return TimePoint(mArrival); }
 };
 
 /// How requests are handed to the engine.
-enum class ModelOrder : std::uint8_t
+enum class QueueingPolicy : std::uint8_t
 {
-  kAsTheyCome,  ///< by the route's urgency alone
-  kByObjective, ///< by UrgencyToSend
-  kRefusing,    ///< the same, and LateQueue says which are refused
+  kByRouteUrgency,       ///< by the route's urgency alone
+  kByObjective,          ///< by EffectiveUrgency
+  kByObjectiveRejecting, ///< the same, and LateRequests says which are refused
 };
 
 /// Plays requests, sorted by arrival, against an engine that reads one prompt
 /// after the other: the most urgent first, of equals the one that came first.
 /// Callers give up after their patience.
-class EngineModel
+class EngineSimulation
 {
 public:
-  EngineModel(double aTokensPerMilli, ModelOrder aOrder, Millis aPatience)
+  EngineSimulation(double aTokensPerMilli,
+                   QueueingPolicy aOrder,
+                   Millis aPatience)
     : mReads(aTokensPerMilli)
     , mOrder(aOrder)
     , mPatience(aPatience)
   {
   }
 
-  void Play(std::vector<ModelRequest>& aRequests)
+  void Play(std::vector<SimulatedRequest>& aRequests)
   {
     Millis now{ 0 };
     std::size_t next = 0;
-    std::vector<ModelRequest*> waiting;
+    std::vector<SimulatedRequest*> waiting;
     while (next < aRequests.size() || !waiting.empty()) {
       if (waiting.empty()) {
         now = std::max(now, aRequests[next].mArrival);
@@ -77,19 +79,19 @@
 
 private:
   /// Whether it waits from now on.
-  bool Send(ModelRequest& aRequest)
+  bool Send(SimulatedRequest& aRequest)
   {
     aRequest.mAhead = mWaiting.AheadOf(aRequest.mUrgency);
     const auto expected = mRate.TimeOf(aRequest.mAhead + aRequest.mTokens);
     aRequest.mSentUrgency =
-      mOrder == ModelOrder::kAsTheyCome
+      mOrder == QueueingPolicy::kByRouteUrgency
         ? aRequest.mUrgency
-        : UrgencyToSend(
+        : EffectiveUrgency(
             { Millis(0), expected, aRequest.mObjective, aRequest.mUrgency },
             mSettings);
-    aRequest.mIsRefused = mOrder == ModelOrder::kRefusing &&
-                          aRequest.IsBehind() &&
-                          mLate.IsStuck(aRequest.SentAt(), aRequest.mObjective);
+    aRequest.mIsRefused =
+      mOrder == QueueingPolicy::kByObjectiveRejecting && aRequest.IsBehind() &&
+      mLate.IsStalled(aRequest.SentAt(), aRequest.mObjective);
     if (aRequest.mIsRefused) {
       return false;
     }
@@ -101,7 +103,7 @@
   }
 
   /// It waits no more.
-  void Leave(const ModelRequest& aRequest)
+  void Leave(const SimulatedRequest& aRequest)
   {
     mWaiting.Remove(aRequest.mSentUrgency, aRequest.mTokens);
     if (aRequest.IsBehind()) {
@@ -109,9 +111,9 @@
     }
   }
 
-  void GiveUp(std::vector<ModelRequest*>& aWaiting, Millis aNow)
+  void GiveUp(std::vector<SimulatedRequest*>& aWaiting, Millis aNow)
   {
-    std::erase_if(aWaiting, [&](const ModelRequest* aRequest) {
+    std::erase_if(aWaiting, [&](const SimulatedRequest* aRequest) {
       const bool isGone = aNow - aRequest->mArrival > mPatience;
       if (isGone) {
         Leave(*aRequest);
@@ -120,7 +122,7 @@
     });
   }
 
-  Millis ReadOne(std::vector<ModelRequest*>& aWaiting, Millis aNow)
+  Millis ReadOne(std::vector<SimulatedRequest*>& aWaiting, Millis aNow)
   {
     const auto best = std::min_element(
       aWaiting.begin(), aWaiting.end(), [](const auto* aOne, const auto* aTwo) {
@@ -140,12 +142,12 @@
   }
 
   double mReads;
-  ModelOrder mOrder;
+  QueueingPolicy mOrder;
   Millis mPatience;
   FirstTokenSettings mSettings;
-  ReadingRate mRate{ mSettings };
+  PrefillRate mRate{ mSettings };
   WaitingTokens mWaiting;
-  LateQueue mLate;
+  LateRequests mLate;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/first_token_test.cpp
+++ b/packages/state/tests/first_token_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "engine_model.h"
+#include "engine_simulation.h"
 
 namespace shuntjunction::state {
 
@@ -53,7 +53,7 @@
 {
 protected:
   FirstTokenSettings mSettings;
-  ReadingRate mRate{ mSettings };
+  PrefillRate mRate{ mSettings };
 };
 
 TEST_F(GivenARate, ItIsLearnedFromWhatWasRead)
@@ -76,11 +76,11 @@
   for (int i = 0; i < 1000; ++i) {
     mRate.Note(INT64_MAX, Millis(-7));
   }
-  EXPECT_LE(mRate.TokensPerMilli(), mSettings.mMostRate);
+  EXPECT_LE(mRate.TokensPerMilli(), mSettings.mMaxRate);
   for (int i = 0; i < 1000; ++i) {
     mRate.Note(mSettings.mLeastTokens, Millis::max());
   }
-  EXPECT_GE(mRate.TokensPerMilli(), 0.9 * mSettings.mLeastRate);
+  EXPECT_GE(mRate.TokensPerMilli(), 0.9 * mSettings.mMinRate);
 }
 
 class GivenARequestToSend : public ::testing::Test
@@ -88,8 +88,8 @@
 protected:
   int Urgency(Millis aElapsed, Millis aExpected, int aUrgency = 1) const
   {
-    return UrgencyToSend({ aElapsed, aExpected, Millis(600), aUrgency },
-                         mSettings);
+    return EffectiveUrgency({ aElapsed, aExpected, Millis(600), aUrgency },
+                            mSettings);
   }
 
   FirstTokenSettings mSettings;
@@ -116,47 +116,47 @@
 class GivenTwiceWhatAnEngineReads : public ::testing::Test
 {
 protected:
-  std::vector<ModelRequest> Play(ModelOrder aOrder) const
+  std::vector<SimulatedRequest> Play(QueueingPolicy aOrder) const
   {
     constexpr int kRequests = 40;
-    std::vector<ModelRequest> requests;
+    std::vector<SimulatedRequest> requests;
     requests.reserve(kRequests);
     for (int i = 0; i < kRequests; ++i) {
       requests.push_back({ Millis(112 * i), 9000, Millis(600) });
     }
-    EngineModel(40.0, aOrder, Millis(2400)).Play(requests);
+    EngineSimulation(40.0, aOrder, Millis(2400)).Play(requests);
     return requests;
   }
 
-  static long InTime(const std::vector<ModelRequest>& aRequests)
+  static long InTime(const std::vector<SimulatedRequest>& aRequests)
   {
     return std::count_if(aRequests.begin(),
                          aRequests.end(),
                          [](const auto& aOne) { return aOne.IsInTime(); });
   }
 
-  static long InVain(const std::vector<ModelRequest>& aRequests)
+  static long InVain(const std::vector<SimulatedRequest>& aRequests)
   {
     return std::count_if(aRequests.begin(),
                          aRequests.end(),
-                         [](const auto& aOne) { return aOne.IsInVain(); });
+                         [](const auto& aOne) { return aOne.IsAbandoned(); });
   }
 };
 
 TEST_F(GivenTwiceWhatAnEngineReads, AsTheyComeNearlyAllAreLate)
 {
-  EXPECT_LT(InTime(Play(ModelOrder::kAsTheyCome)), 8);
+  EXPECT_LT(InTime(Play(QueueingPolicy::kByRouteUrgency)), 8);
 }
 
 TEST_F(GivenTwiceWhatAnEngineReads, ByObjectiveMostOfWhatItReadsIsInTime)
 {
   // Of the 20 that it can read meanwhile.
-  EXPECT_GE(InTime(Play(ModelOrder::kByObjective)), 15);
+  EXPECT_GE(InTime(Play(QueueingPolicy::kByObjective)), 15);
 }
 
 TEST_F(GivenTwiceWhatAnEngineReads, TheOthersAreStillServedFromWhatIsLeft)
 {
-  const auto requests = Play(ModelOrder::kByObjective);
+  const auto requests = Play(QueueingPolicy::kByObjective);
   const auto served =
     std::count_if(requests.begin(), requests.end(), [](const auto& aOne) {
       return aOne.mFirst.has_value();
@@ -166,8 +166,8 @@
 
 TEST_F(GivenTwiceWhatAnEngineReads, WhoWouldWaitInVainIsRefusedAtOnce)
 {
-  const auto without = Play(ModelOrder::kByObjective);
-  const auto with = Play(ModelOrder::kRefusing);
+  const auto without = Play(QueueingPolicy::kByObjective);
+  const auto with = Play(QueueingPolicy::kByObjectiveRejecting);
   EXPECT_GE(InTime(with), InTime(without));
   EXPECT_LE(InVain(with), InVain(without) / 2);
 }
@@ -175,12 +175,13 @@
 TEST_F(GivenTwiceWhatAnEngineReads, NobodyIsWhileAllCanBeServed)
 {
   constexpr int kRequests = 40;
-  std::vector<ModelRequest> requests;
+  std::vector<SimulatedRequest> requests;
   requests.reserve(kRequests);
   for (int i = 0; i < kRequests; ++i) {
     requests.push_back({ Millis(300 * i), 9000, Millis(600) });
   }
-  EngineModel(40.0, ModelOrder::kRefusing, Millis(2400)).Play(requests);
+  EngineSimulation(40.0, QueueingPolicy::kByObjectiveRejecting, Millis(2400))
+    .Play(requests);
   EXPECT_EQ(InTime(requests), kRequests);
 }
 
@@ -191,31 +192,31 @@
   static constexpr Millis kObjective{ 600 };
 
   ManualClock mClock;
-  LateQueue mQueue;
+  LateRequests mQueue;
 };
 
 TEST_F(GivenALateQueue, ItIsStuckOnceOneHasWaitedForItsObjective)
 {
-  EXPECT_FALSE(mQueue.IsStuck(mClock.Now(), kObjective));
+  EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
   const auto first = mClock.Now();
   mQueue.Add(first);
   mClock.Advance(kObjective);
   mQueue.Add(mClock.Now());
-  EXPECT_FALSE(mQueue.IsStuck(mClock.Now(), kObjective));
+  EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
   mClock.Advance(Millis(1));
-  EXPECT_TRUE(mQueue.IsStuck(mClock.Now(), kObjective));
+  EXPECT_TRUE(mQueue.IsStalled(mClock.Now(), kObjective));
   {
     SCOPED_TRACE("it got its first token");
     mQueue.Remove(first);
-    EXPECT_FALSE(mQueue.IsStuck(mClock.Now(), kObjective));
+    EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
   }
 }
 
 TEST_F(GivenALateQueue, RefusedCallersComeBackSpreadAfterWhatWaitsIsRead)
 {
-  EXPECT_EQ(mQueue.ReturnAfter(Millis(800), 0.0), Millis(800));
-  EXPECT_EQ(mQueue.ReturnAfter(Millis(800), 1.0), Millis(1600));
-  EXPECT_EQ(mQueue.ReturnAfter(Millis(10), 0.0), Millis(300));
+  EXPECT_EQ(mQueue.RetryDelay(Millis(800), 0.0), Millis(800));
+  EXPECT_EQ(mQueue.RetryDelay(Millis(800), 1.0), Millis(1600));
+  EXPECT_EQ(mQueue.RetryDelay(Millis(10), 0.0), Millis(300));
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/history.cpp
+++ b/packages/state/tests/history.cpp
@@ -41,19 +41,19 @@
   Violations violations;
   std::map<int, std::size_t> got;
   for (const auto& token : aHistory.mTokens) {
-    const auto right = aHistory.mRightTokens.find(token.mRequest);
+    const auto right = aHistory.mExpectedTokens.find(token.mRequest);
     const std::size_t at = got[token.mRequest]++;
-    if (right == aHistory.mRightTokens.end() || at >= right->second.size() ||
+    if (right == aHistory.mExpectedTokens.end() || at >= right->second.size() ||
         right->second[at] != token.mText) {
       violations.push_back("request " + std::to_string(token.mRequest) +
                            " got a wrong token at " + std::to_string(at));
     }
   }
   for (const auto& stream : aHistory.mStreams) {
-    const auto right = aHistory.mRightTokens.find(stream.mRequest);
+    const auto right = aHistory.mExpectedTokens.find(stream.mRequest);
     const std::size_t all =
-      right == aHistory.mRightTokens.end() ? 0 : right->second.size();
-    if (stream.mLooksWhole && got[stream.mRequest] != all) {
+      right == aHistory.mExpectedTokens.end() ? 0 : right->second.size();
+    if (stream.mLooksComplete && got[stream.mRequest] != all) {
       violations.push_back("request " + std::to_string(stream.mRequest) +
                            " got a cut stream that looks whole");
     }
--- a/packages/state/tests/history.h
+++ b/packages/state/tests/history.h
@@ -36,7 +36,7 @@
 struct StreamEnded
 {
   int mRequest = 0;
-  bool mLooksWhole = false;
+  bool mLooksComplete = false;
 };
 
 /// A configuration that came into force in a process.
@@ -63,7 +63,7 @@
   std::vector<StreamEnded> mStreams;
   std::vector<InForce> mInForce;
   std::vector<Obeyed> mObeyed;
-  std::map<int, std::vector<std::string>> mRightTokens; ///< by request
+  std::map<int, std::vector<std::string>> mExpectedTokens; ///< by request
 };
 
 /// Promises that were broken, one sentence each; empty when none.
--- a/packages/state/tests/history_test.cpp
+++ b/packages/state/tests/history_test.cpp
@@ -11,7 +11,7 @@
 class GivenAHistory : public ::testing::Test
 {
 protected:
-  GivenAHistory() { mHistory.mRightTokens[1] = { "a", "b" }; }
+  GivenAHistory() { mHistory.mExpectedTokens[1] = { "a", "b" }; }
 
   History mHistory;
 };
--- a/packages/state/tests/limit_model_test.cpp
+++ b/packages/state/tests/limit_model_test.cpp
@@ -154,10 +154,10 @@
 
   void Restart(int aCompanion)
   {
-    ShareKeeperSettings settings;
-    settings.mListings.mHandover = mPlay.mHandover;
+    LimitSharesSettings settings;
+    settings.mOwnership.mHandover = mPlay.mHandover;
     const auto at = static_cast<std::size_t>(aCompanion);
-    mKeepers[at] = std::make_unique<ShareKeeper>(settings, mHosts[at]);
+    mKeepers[at] = std::make_unique<LimitShares>(settings, mHosts[at]);
     const auto since =
       mPlay.mStartsFull ? mClock.Now() - std::chrono::minutes(1) : mClock.Now();
     // It reads the list as it is now.
@@ -238,7 +238,7 @@
     }
   }
 
-  ShareKeeper& KeeperAt(const std::string& aHost)
+  LimitShares& KeeperAt(const std::string& aHost)
   {
     const auto found = std::find(mHosts.begin(), mHosts.end(), aHost);
     return *mKeepers[static_cast<std::size_t>(found - mHosts.begin())];
@@ -252,7 +252,7 @@
   std::vector<bool> mListed;
   std::deque<std::pair<TimePoint, std::vector<std::string>>> mLists;
   std::vector<Millis> mListDelay; ///< of companions, then relays
-  std::vector<std::unique_ptr<ShareKeeper>> mKeepers;
+  std::vector<std::unique_ptr<LimitShares>> mKeepers;
   std::vector<ShareDirectory> mDirectories;
 };
 
--- a/packages/state/tests/limit_shares_test.cpp
+++ b/packages/state/tests/limit_shares_test.cpp
@@ -18,7 +18,7 @@
 {
   ShareKey key{ 1, 0 };
   const std::vector<std::string> both{ kOwn, kOther };
-  while (both[KeeperOfShare(both, key)] == kOwn) {
+  while (both[OwnerOfShare(both, key)] == kOwn) {
     ++key.mLimit;
   }
   return key;
@@ -29,7 +29,7 @@
 class GivenACompanion : public ::testing::Test
 {
 protected:
-  GivenACompanion() { mSettings.mListings.mHandover = Millis(5000); }
+  GivenACompanion() { mSettings.mOwnership.mHandover = Millis(5000); }
 
   void List(std::vector<std::string> aHosts)
   {
@@ -43,8 +43,8 @@
   }
 
   ManualClock mClock;
-  ShareKeeperSettings mSettings;
-  ShareKeeper mKeeper{ mSettings, kOwn };
+  LimitSharesSettings mSettings;
+  LimitShares mKeeper{ mSettings, kOwn };
   ShareKey mKey = KeyOfOther();
   std::uint64_t mVersion = 1;
 };
@@ -111,7 +111,7 @@
   mClock.Advance(Millis(60000));
   EXPECT_EQ(Take(4'000'000'000U), 0U);
   EXPECT_EQ(Take(1, { 0, 8000 }), 0U);
-  mKey.mShare = kSharesOfLimit;
+  mKey.mShare = kSharesPerLimit;
   EXPECT_EQ(Take(1), 0U);
 }
 
@@ -123,7 +123,7 @@
 
 TEST_F(ThatHasJustStarted, ItTakesWhatTheListStillLacksWithoutAHandover)
 {
-  mClock.Advance(mSettings.mListings.mSettling - Millis(1));
+  mClock.Advance(mSettings.mOwnership.mStartupWindow - Millis(1));
   List({ kOwn });
   mClock.Advance(Millis(101));
   EXPECT_GT(Take(100), 0U);
@@ -137,7 +137,7 @@
 
 TEST_F(ThatHasJustStarted, OnceThatTimeIsOverAShareIsHandedOver)
 {
-  mClock.Advance(mSettings.mListings.mSettling);
+  mClock.Advance(mSettings.mOwnership.mStartupWindow);
   List({ kOwn });
   mClock.Advance(Millis(100));
   EXPECT_EQ(Take(100), 0U);
@@ -157,13 +157,13 @@
 
 TEST_F(ThatGetsAShareOfAnother, ItGivesNothingWhileRelaysMayAskTheOther)
 {
-  mClock.Advance(mSettings.mListings.mHandover - Millis(1));
+  mClock.Advance(mSettings.mOwnership.mHandover - Millis(1));
   EXPECT_EQ(Take(100), 0U);
 }
 
 TEST_F(ThatGetsAShareOfAnother, ThenItBeginsEmpty)
 {
-  mClock.Advance(mSettings.mListings.mHandover + Millis(100));
+  mClock.Advance(mSettings.mOwnership.mHandover + Millis(100));
   EXPECT_EQ(Take(1000), 100U);
 }
 
@@ -192,10 +192,10 @@
   }
   mDirectory.SetHosts(hosts);
   const auto sources = mDirectory.SourcesOf(5, "a");
-  ASSERT_EQ(sources.size(), kSharesOfLimit);
+  ASSERT_EQ(sources.size(), kSharesPerLimit);
   bool isOtherZone = false;
   for (const auto& source : sources) {
-    EXPECT_EQ(source.mHost, names[KeeperOfShare(names, source.mKey)]);
+    EXPECT_EQ(source.mHost, names[OwnerOfShare(names, source.mKey)]);
     SCOPED_TRACE("those of the own zone first");
     EXPECT_FALSE(isOtherZone && hosts[source.mHost] == "a");
     isOtherZone = hosts[source.mHost] == "b";
@@ -210,7 +210,7 @@
 TEST_F(GivenARelaysDirectory, AShareIsLeftOutForItsTime)
 {
   const ShareKey key{ 5, 1 };
-  mDirectory.Close(key, ShareState::kSilent, mClock.Now() + Millis(50));
+  mDirectory.Exclude(key, ShareState::kSilent, mClock.Now() + Millis(50));
   EXPECT_EQ(mDirectory.StateOf(key, mClock.Now()), ShareState::kSilent);
   mClock.Advance(Millis(50));
   EXPECT_EQ(mDirectory.StateOf(key, mClock.Now()), ShareState::kOpen);
--- a/packages/state/tests/list_freshness_test.cpp
+++ b/packages/state/tests/list_freshness_test.cpp
@@ -10,7 +10,7 @@
 class GivenAFollowedList : public ::testing::Test
 {
 protected:
-  GivenAFollowedList() { mList.TakeOwn(10, mClock.Now()); }
+  GivenAFollowedList() { mList.NoteListRevision(10, mClock.Now()); }
 
   ManualClock mClock;
   ListFreshness mList;
@@ -19,7 +19,7 @@
 TEST_F(GivenAFollowedList, AnAnswerOfAnUnchangedStoreConfirmsIt)
 {
   mClock.Advance(Millis(700));
-  mList.TakeStore(10, mClock.Now());
+  mList.NoteStoreRevision(10, mClock.Now());
   EXPECT_FALSE(mList.IsBehind());
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
 }
@@ -27,12 +27,12 @@
 TEST_F(GivenAFollowedList, AChangeThatNobodyToldLeavesItBehind)
 {
   mClock.Advance(Millis(700));
-  mList.TakeStore(11, mClock.Now());
+  mList.NoteStoreRevision(11, mClock.Now());
   EXPECT_TRUE(mList.IsBehind());
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(700));
   {
     SCOPED_TRACE("until its own watch tells");
-    mList.TakeOwn(11, mClock.Now());
+    mList.NoteListRevision(11, mClock.Now());
     EXPECT_FALSE(mList.IsBehind());
     EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
   }
@@ -41,31 +41,31 @@
 TEST_F(GivenAFollowedList, ChangesOfOthersDoNot)
 {
   SCOPED_TRACE("told in any order");
-  mList.TakeOther(12);
-  mList.TakeOther(11);
-  mList.TakeStore(12, mClock.Now());
+  mList.NoteOtherRevision(12);
+  mList.NoteOtherRevision(11);
+  mList.NoteStoreRevision(12, mClock.Now());
   EXPECT_FALSE(mList.IsBehind());
 }
 
 TEST_F(GivenAFollowedList, OneBetweenChangesOfOthersDoes)
 {
-  mList.TakeOther(11);
-  mList.TakeOther(13);
-  mList.TakeStore(13, mClock.Now());
+  mList.NoteOtherRevision(11);
+  mList.NoteOtherRevision(13);
+  mList.NoteStoreRevision(13, mClock.Now());
   EXPECT_TRUE(mList.IsBehind());
   EXPECT_EQ(mList.Known(), 11U);
-  mList.TakeOwn(12, mClock.Now());
+  mList.NoteListRevision(12, mClock.Now());
   EXPECT_FALSE(mList.IsBehind());
 }
 
 TEST_F(GivenAFollowedList, ManyChangesOfOthersAreNotKeptForGood)
 {
   for (std::uint64_t revision = 12; revision < 20000; ++revision) {
-    mList.TakeOther(revision);
+    mList.NoteOtherRevision(revision);
   }
-  mList.TakeStore(19999, mClock.Now());
+  mList.NoteStoreRevision(19999, mClock.Now());
   EXPECT_TRUE(mList.IsBehind());
-  mList.TakeOwn(19999, mClock.Now());
+  mList.NoteListRevision(19999, mClock.Now());
   EXPECT_FALSE(mList.IsBehind());
 }
 
--- a/packages/state/tests/object_mirror_test.cpp
+++ b/packages/state/tests/object_mirror_test.cpp
@@ -32,7 +32,8 @@
 protected:
   GivenAMirror()
   {
-    mMirror.TakeList("e/", 10, { { "e/a", 3, "1" }, { "e/b", 9, "2" } }, Now());
+    mMirror.MergeList(
+      "e/", 10, { { "e/a", 3, "1" }, { "e/b", 9, "2" } }, Now());
     Know(10);
   }
 
@@ -40,23 +41,23 @@
 
   void Know(std::uint64_t aRevision)
   {
-    mMirror.NoteTopic("e/", aRevision, Now());
+    mMirror.UpdateTopic("e/", aRevision, Now());
   }
 
   void Change(const RawObject& aObject)
   {
-    mMirror.TakeChange(aObject, Now());
+    mMirror.MergeChange(aObject, Now());
     Know(aObject.mRevision);
   }
 
   /// What another mirror lacks, as it arrives there.
-  MirrorPage Ask(std::uint64_t aEpoch, std::uint64_t aSequence) const
+  MirrorUpdate Ask(std::uint64_t aEpoch, std::uint64_t aSequence) const
   {
     const auto text =
-      WriteMirrorPage(mMirror.PageSince(aEpoch, aSequence, Now()));
-    const auto page = ReadMirrorPage(text, "peer");
+      WriteMirrorUpdate(mMirror.UpdateSince(aEpoch, aSequence, Now()));
+    const auto page = ReadMirrorUpdate(text, "peer");
     EXPECT_TRUE(page.has_value());
-    return page.value_or(MirrorPage{});
+    return page.value_or(MirrorUpdate{});
   }
 
   ManualClock mClock;
@@ -87,7 +88,7 @@
 
 TEST_F(GivenAMirror, AListTellsWhatWent)
 {
-  mMirror.TakeList("e/", 20, { { "e/b", 9, "2" } }, Now());
+  mMirror.MergeList("e/", 20, { { "e/b", 9, "2" } }, Now());
   EXPECT_EQ(KeysOf(*mMirror.ChangesAfter("e/", 10, Now())),
             (Keys{ "e/a gone" }));
 }
@@ -106,7 +107,7 @@
 protected:
   ThatAnotherAsks() { Take(Ask(0, 0)); }
 
-  void Take(const MirrorPage& aPage)
+  void Take(const MirrorUpdate& aPage)
   {
     mOther.Apply(aPage, Now(), Now());
     mSequence = aPage.mSequence;
@@ -125,7 +126,7 @@
   EXPECT_EQ(KeysOf(page.mChanges), (Keys{ "e/a gone" }));
   Take(page);
   EXPECT_EQ(KeysOf(mOther.List("e/", Now())), Keys{ "e/b" });
-  EXPECT_EQ(mOther.Topic("e/")->mKnown, 13U);
+  EXPECT_EQ(mOther.Topic("e/")->mKnownRevision, 13U);
   EXPECT_TRUE(Ask(7, mSequence).mChanges.empty());
 }
 
@@ -144,20 +145,20 @@
 TEST_F(ThatAnotherAsks, EachWordKeepsItsAge)
 {
   Change({ "e/c", 12, "3" });
-  mMirror.NoteTrouble(Now());
+  mMirror.NotePlatformFailure(Now());
   mClock.Advance(700ms);
   Take(Ask(7, mSequence));
   mClock.Advance(50ms);
   EXPECT_EQ(mOther.ChangesAfter("e/", 10, Now())->at(0).mAge, 750ms);
   EXPECT_EQ(Now() - mOther.Topic("e/")->mAsOf, 750ms);
-  EXPECT_EQ(Now() - *mOther.TroubleAt(), 750ms);
+  EXPECT_EQ(Now() - *mOther.LastPlatformFailure(), 750ms);
 }
 
 TEST(GivenAPage, WhatMakesNoSenseIsRefused)
 {
-  EXPECT_FALSE(ReadMirrorPage("{}", "peer").has_value());
-  EXPECT_FALSE(ReadMirrorPage("\xff", "peer").has_value());
-  const auto error = ReadMirrorPage(
+  EXPECT_FALSE(ReadMirrorUpdate("{}", "peer").has_value());
+  EXPECT_FALSE(ReadMirrorUpdate("\xff", "peer").has_value());
+  const auto error = ReadMirrorUpdate(
     R"({"epoch":1,"sequence":1,"whole":true,"topics":[{"prefix":1}],
         "changes":[]})",
     "peer");
@@ -182,7 +183,7 @@
 
   std::vector<std::string> Watchers() const
   {
-    return ZoneWatchersOf(mEngines, "a", mSettings);
+    return SelectZoneWatchers(mEngines, "a", mSettings);
   }
 
   EndpointInfo& Of(const std::string& aAddress)
@@ -252,7 +253,7 @@
     if (!isToldKey) {
       return;
     }
-    asker.ConfirmSecondHand(askedAt, toldAge);
+    asker.ConfirmFromPeer(askedAt, toldAge);
     now += delay(i + 4, 3000);
     const bool isTaken = asker.Age(now) < Millis(kBound);
     RC_ASSERT(!isTaken || now < removedAt + Millis(kBound));
--- a/packages/state/tests/order_test.cpp
+++ b/packages/state/tests/order_test.cpp
@@ -135,13 +135,14 @@
   {
     OrderMachine& machine = *aCompanion.mMachine;
     aCompanion.mTakenAtLook = mHeld.mRecord.mFence;
-    if (machine.Step() == OrderStep::kLookAgain && !mMechanisms.mLooksAgain) {
-      machine.FenceRead(
-        HeldFence{ { machine.Fence(), aCompanion.mHolder }, 1 });
+    if (machine.Step() == OrderStep::kRecheckFence &&
+        !mMechanisms.mLooksAgain) {
+      machine.OnFenceRead(
+        StoredFence{ { machine.Fence(), aCompanion.mHolder }, 1 });
     } else if (aFate == Fate::kAnswers) {
-      machine.FenceRead(mHeld);
+      machine.OnFenceRead(mHeld);
     } else {
-      machine.FenceRead(NoAnswer());
+      machine.OnFenceRead(NoAnswer());
     }
   }
 
@@ -150,7 +151,7 @@
     OrderMachine& machine = *aCompanion.mMachine;
     const Write write{ machine.Next(), machine.Revision() };
     if (aFate == Fate::kAnswers) {
-      machine.FenceWritten(Apply(write));
+      machine.OnFenceWritten(Apply(write));
       return;
     }
     if (aFate == Fate::kAnswerIsLost) {
@@ -158,7 +159,7 @@
     } else if (aFate == Fate::kTakesEffectLater) {
       mLateWrites.push_back(write);
     }
-    machine.FenceWritten(NoAnswer());
+    machine.OnFenceWritten(NoAnswer());
   }
 
   void StepOrder(Companion& aCompanion, Fate aFate)
@@ -173,7 +174,7 @@
     } else if (aFate != Fate::kCallIsLost) {
       Obey(order);
     }
-    machine.Ordered();
+    machine.OnOrderSent();
   }
 
   void Step(Companion& aCompanion, std::uint8_t aChoice)
@@ -191,19 +192,19 @@
       aChoice % 8 < 4 ? Fate::kAnswers : static_cast<Fate>(aChoice % 4);
     switch (aCompanion.mMachine->Step()) {
       case OrderStep::kReadFence:
-      case OrderStep::kLookAgain:
+      case OrderStep::kRecheckFence:
         StepRead(aCompanion, fate);
         return;
-      case OrderStep::kTakeFence:
+      case OrderStep::kAcquireFence:
         StepWrite(aCompanion, fate);
         return;
       case OrderStep::kDrain:
-        aCompanion.mMachine->Drained();
+        aCompanion.mMachine->OnDrained();
         return;
-      case OrderStep::kOrder:
+      case OrderStep::kSendOrder:
         StepOrder(aCompanion, fate);
         return;
-      case OrderStep::kOver:
+      case OrderStep::kCompleted:
       case OrderStep::kLost:
         aCompanion.mMachine.reset();
         return;
@@ -227,7 +228,7 @@
   OrderMechanisms mMechanisms;
   History mHistory;
   std::array<Companion, kCompanions> mCompanions;
-  HeldFence mHeld;
+  StoredFence mHeld;
   std::uint64_t mRevision = 0;
   std::vector<Write> mLateWrites;
   std::vector<Order> mLateOrders;
@@ -272,7 +273,7 @@
   {
     constexpr int kSchedules = 3000;
     Found found;
-    ForSchedules(kSchedules, [&](const auto& aSchedule) {
+    ForEachSchedule(kSchedules, [&](const auto& aSchedule) {
       const History history = OrderWorld(aMechanisms).Run(aSchedule);
       found.mOlderObeyed += CheckFencesRise(history).empty() ? 0 : 1;
       found.mOthersNumber += CheckOneHolderOrders(history).empty() ? 0 : 1;
--- a/packages/state/tests/overload_guard_test.cpp
+++ b/packages/state/tests/overload_guard_test.cpp
@@ -12,7 +12,7 @@
   void Look(Millis aDelay, int aTimes = 1)
   {
     for (int i = 0; i < aTimes; ++i) {
-      mGuard.NoteLook(aDelay);
+      mGuard.NoteTimerDelay(aDelay);
     }
   }
 
--- a/packages/state/tests/placement_test.cpp
+++ b/packages/state/tests/placement_test.cpp
@@ -131,7 +131,7 @@
   EXPECT_EQ(Usable().size(), 11U);
   {
     SCOPED_TRACE("its word is forgotten in the end");
-    mClock.Advance(kLeavingMemory);
+    mClock.Advance(kReportedLeavingTtl);
     EXPECT_EQ(Usable().size(), 12U);
   }
 }
--- a/packages/state/tests/recent_changes_test.cpp
+++ b/packages/state/tests/recent_changes_test.cpp
@@ -29,7 +29,7 @@
   std::string Text() const
   {
     const auto have = mOther.Version();
-    return mWatcher.Recent().TextSince(have.mEpoch, have.mRevision);
+    return mWatcher.Recent().SerializeSince(have.mEpoch, have.mRevision);
   }
 
   ConfigStore mWatcher;
@@ -56,7 +56,7 @@
     ASSERT_TRUE(mOther.ApplyPeer(Text(), "w").has_value());
     ConfigStore third;
     third.ApplyList(15, { Model("b", 8), Model("c", 12), Model("d", 14) });
-    const auto passed = mOther.Recent().TextSince(0, 15);
+    const auto passed = mOther.Recent().SerializeSince(0, 15);
     ASSERT_FALSE(passed.empty());
     EXPECT_FALSE(third.ApplyPeer(passed, "o")); // It lacks version 15.
     EXPECT_EQ(*third.ApplyPeer(mOther.Serialize(), "o"),
@@ -80,7 +80,7 @@
 TEST_F(GivenTwoProcesses, ChangesThatDoNotFollowOnAreRefused)
 {
   mWatcher.ApplyChanges(12, { Model("c", 12) });
-  const std::string text = mWatcher.Recent().TextSince(0, 12);
+  const std::string text = mWatcher.Recent().SerializeSince(0, 12);
   ASSERT_FALSE(text.empty());
   EXPECT_FALSE(mOther.ApplyPeer(text, "w").has_value());
   EXPECT_FALSE(mOther.ApplyPeer(text.substr(0, text.size() / 2), "w"));
@@ -92,7 +92,8 @@
   mWatcher.ApplyChanges(12, { { "config/models/a", 12, "" } });
   ConfigStore late;
   late.ApplyList(30, { Model("b", 8) });
-  const auto text = mWatcher.Recent().TextSince(0, late.Version().mRevision);
+  const auto text =
+    mWatcher.Recent().SerializeSince(0, late.Version().mRevision);
   EXPECT_EQ(*late.ApplyPeer(text, "w"), MergeOutcome::kApplied);
   EXPECT_EQ(late.Version(), mWatcher.Version());
   EXPECT_EQ(late.Cursor().mRevision, 30U);
@@ -103,8 +104,8 @@
   // All that this one ever had are changes, so that they reach back to zero.
   ConfigStore young;
   young.ApplyChanges(3, { Model("a", 3) });
-  EXPECT_TRUE(young.Recent().TextSince(0, 0).empty());
-  EXPECT_FALSE(young.Recent().TextSince(0, 3).empty());
+  EXPECT_TRUE(young.Recent().SerializeSince(0, 0).empty());
+  EXPECT_FALSE(young.Recent().SerializeSince(0, 3).empty());
 }
 
 TEST_F(GivenTwoProcesses, WhatIsKeptIsBounded)
@@ -114,8 +115,8 @@
   }
   EXPECT_TRUE(Text().empty());
   const std::uint64_t newest = mWatcher.Version().mRevision;
-  EXPECT_FALSE(mWatcher.Recent().TextSince(0, newest - 10).empty());
-  EXPECT_TRUE(mWatcher.Recent().TextSince(1, newest - 10).empty());
+  EXPECT_FALSE(mWatcher.Recent().SerializeSince(0, newest - 10).empty());
+  EXPECT_TRUE(mWatcher.Recent().SerializeSince(1, newest - 10).empty());
 }
 
 } // namespace
--- a/packages/state/tests/relay_state_test.cpp
+++ b/packages/state/tests/relay_state_test.cpp
@@ -10,9 +10,9 @@
 
 #include "shuntjunction/state/endpoint_directory.h"
 #include "shuntjunction/state/freshness.h"
-#include "shuntjunction/state/load_turns.h"
+#include "shuntjunction/state/load_schedule.h"
 #include "shuntjunction/state/part_index.h"
-#include "shuntjunction/state/part_ledger.h"
+#include "shuntjunction/state/part_record_table.h"
 #include "shuntjunction/state/prefix_chain.h"
 #include "shuntjunction/state/relay_choice.h"
 #include "shuntjunction/state/relay_config.h"
@@ -55,8 +55,8 @@
 protected:
   GivenADirectory()
   {
-    mDirectory.TakeList({ Endpoint("a", "1:1"), Endpoint("b", "2:1") },
-                        mClock.Now());
+    mDirectory.MergeList({ Endpoint("a", "1:1"), Endpoint("b", "2:1") },
+                         mClock.Now());
   }
 
   ManualClock mClock;
@@ -86,9 +86,9 @@
 
 TEST_F(WhoseListWasAway, AnEntryThatLapsedStaysUntilTheGraceHasPassed)
 {
-  mDirectory.TakeList({ Endpoint("b", "2:1") }, mClock.Now());
+  mDirectory.MergeList({ Endpoint("b", "2:1") }, mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "a", "b" }));
-  mClock.Advance(kLapseGrace - 1ms);
+  mClock.Advance(kExpiredEntryGrace - 1ms);
   EXPECT_FALSE(mDirectory.Expire(mClock.Now()));
   mClock.Advance(1ms);
   EXPECT_TRUE(mDirectory.Expire(mClock.Now()));
@@ -132,7 +132,7 @@
   }
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "a", "b" }));
   mDirectory.NoteAnswer(mClock.Now());
-  mClock.Advance(kLapseGrace);
+  mClock.Advance(kExpiredEntryGrace);
   mDirectory.Expire(mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
@@ -158,16 +158,16 @@
   }
 
   std::vector<EndpointInfo> mEngines;
-  LoadTurnSettings mSettings;
+  LoadScheduleSettings mSettings;
 };
 
 TEST_F(GivenEngines, AFifthLoadsAtOnceAndEachHasATurn)
 {
-  const auto order = LoadOrder(mEngines, { "m", 3 });
+  const auto order = WeightLoadSequence(mEngines, { "m", 3 });
   ASSERT_EQ(order.size(), 9U);
   std::map<Millis, int> atOnce;
   for (const auto& engine : mEngines) {
-    ++atOnce[TurnOf(order, engine.mId, mSettings).value()];
+    ++atOnce[LoadStartOf(order, engine.mId, mSettings).value()];
   }
   EXPECT_EQ(atOnce.size(), 5U);
   for (const auto& [turn, count] : atOnce) {
@@ -177,14 +177,14 @@
 
 TEST_F(GivenEngines, TheOneThatMissedAVersionGoesFirst)
 {
-  EXPECT_EQ(LoadOrder(mEngines, { "m", 3 }).front(), "e4");
+  EXPECT_EQ(WeightLoadSequence(mEngines, { "m", 3 }).front(), "e4");
 }
 
 TEST_F(GivenEngines, LeavingOnesHaveNoTurn)
 {
   mEngines[4].mIsLeaving = true;
-  const auto order = LoadOrder(mEngines, { "m", 3 });
-  EXPECT_FALSE(TurnOf(order, "e4", mSettings).has_value());
+  const auto order = WeightLoadSequence(mEngines, { "m", 3 });
+  EXPECT_FALSE(LoadStartOf(order, "e4", mSettings).has_value());
 }
 
 class GivenCandidates : public ::testing::Test
@@ -273,7 +273,7 @@
 
 // One request of ten crashed the endpoint that they shared. Chosen by prompt,
 // all ten would meet again; apart, each meets the culprit where chance has it.
-TEST(ChooseApart, SendsThoseThatRanTogetherDifferentWays)
+TEST(ChooseForSuspect, SendsThoseThatRanTogetherDifferentWays)
 {
   constexpr std::uint64_t kEndpoints = 8;
   constexpr int kRequests = 800;
@@ -284,25 +284,25 @@
   std::map<std::size_t, int> chosen;
   for (int i = 0; i < kRequests; ++i) {
     const auto key = PlacementHash("request " + std::to_string(i));
-    const auto index = ChooseApart(candidates, key, {});
+    const auto index = ChooseForSuspect(candidates, key, {});
     ASSERT_TRUE(index);
-    EXPECT_EQ(ChooseApart(candidates, key, {}), index);
+    EXPECT_EQ(ChooseForSuspect(candidates, key, {}), index);
     ++chosen[*index];
   }
   for (const auto& [index, count] : chosen) {
     EXPECT_LT(count, kRequests / 4) << index;
   }
   EXPECT_EQ(chosen.size(), kEndpoints);
-  EXPECT_FALSE(ChooseApart({}, 1, {}));
+  EXPECT_FALSE(ChooseForSuspect({}, 1, {}));
   {
     SCOPED_TRACE("and none to where another of them runs, if it can be helped");
-    const auto first = *ChooseApart(candidates, 1, {});
-    candidates[first].mSuspects = 1;
-    EXPECT_NE(ChooseApart(candidates, 1, {}), first);
+    const auto first = *ChooseForSuspect(candidates, 1, {});
+    candidates[first].mSuspectRequests = 1;
+    EXPECT_NE(ChooseForSuspect(candidates, 1, {}), first);
     for (auto& candidate : candidates) {
-      candidate.mSuspects = 1;
+      candidate.mSuspectRequests = 1;
     }
-    EXPECT_EQ(ChooseApart(candidates, 1, {}), first);
+    EXPECT_EQ(ChooseForSuspect(candidates, 1, {}), first);
   }
 }
 
@@ -404,9 +404,9 @@
     return shares;
   }
 
-  std::vector<PartStoreRule> mStores{ { "x", "a:1", "z", 1 },
-                                      { "y", "b:1", "z", 1 },
-                                      { "z", "c:1", "z", 1 } };
+  std::vector<KvStoreRule> mStores{ { "x", "a:1", "z", 1 },
+                                    { "y", "b:1", "z", 1 },
+                                    { "z", "c:1", "z", 1 } };
 };
 
 TEST_F(GivenThreePartStores, EachKeepsItsShare)
@@ -513,7 +513,7 @@
 TEST(GivenALedger, TheLeastRecentlyUsedIsForgotten)
 {
   ManualClock clock;
-  PartLedger ledger(2);
+  PartRecordTable ledger(2);
   ledger.At("s/a").mServedAt = clock.Now();
   ledger.At("s/b").mServedAt = clock.Now();
   ledger.At("s/a");
--- a/packages/state/tests/schedules.h
+++ b/packages/state/tests/schedules.h
@@ -10,7 +10,7 @@
 /// Runs a function on so many random schedules of 160 bytes.
 template<typename Function>
 void
-ForSchedules(int aCount, Function aRun)
+ForEachSchedule(int aCount, Function aRun)
 {
   constexpr std::size_t kSteps = 160;
   for (int seed = 0; seed < aCount; ++seed) {
--- a/packages/state/tests/stream_test.cpp
+++ b/packages/state/tests/stream_test.cpp
@@ -98,7 +98,7 @@
     : mMechanisms(aMechanisms)
   {
     for (int i = 0; i < kTokens; ++i) {
-      mHistory.mRightTokens[1].push_back("t" + std::to_string(i));
+      mHistory.mExpectedTokens[1].push_back("t" + std::to_string(i));
     }
     OpenAttempt();
   }
@@ -224,7 +224,7 @@
   static int Broken(const StreamMechanisms& aMechanisms)
   {
     int broken = 0;
-    ForSchedules(500, [&](const auto& aSchedule) {
+    ForEachSchedule(500, [&](const auto& aSchedule) {
       const auto history = StreamWorld(aMechanisms).Run(aSchedule);
       broken += CheckStreams(history).empty() ? 0 : 1;
     });
@@ -236,8 +236,8 @@
 {
   EXPECT_EQ(Broken({}), 0);
   int whole = 0;
-  ForSchedules(500, [&](const auto& aSchedule) {
-    whole += StreamWorld({}).Run(aSchedule).mStreams.front().mLooksWhole;
+  ForEachSchedule(500, [&](const auto& aSchedule) {
+    whole += StreamWorld({}).Run(aSchedule).mStreams.front().mLooksComplete;
   });
   EXPECT_GT(whole, 0) << "the schedules must let some streams end";
 }
--- a/packages/state/tests/warming_test.cpp
+++ b/packages/state/tests/warming_test.cpp
@@ -38,7 +38,7 @@
     parameters.mTeam = "t";
     parameters.mTemplate = "slot";
     parameters.mModel = "m";
-    parameters.mStarts = { "06:30" };
+    parameters.mStartTimes = { "06:30" };
     parameters.mSharedText = { std::string(4 * kBlockBytes, 'r') };
     parameters.mWarmEndpoints = 2;
     mConfig.mParameters = { parameters };
--- a/packages/state/tests/watchers_test.cpp
+++ b/packages/state/tests/watchers_test.cpp
@@ -27,7 +27,7 @@
   std::set<std::string> Names(const std::string& aZone) const
   {
     std::set<std::string> names;
-    for (const auto& watcher : WatchersOf(mInstances, aZone, 3)) {
+    for (const auto& watcher : SelectWatchers(mInstances, aZone, 3)) {
       names.insert(watcher.mName);
     }
     return names;
@@ -48,7 +48,7 @@
 TEST_F(GivenAFleetOfThreeZones, ThreeCompanionsAZoneWatch)
 {
   EXPECT_EQ(Watching(mInstances), 9U);
-  for (const auto& watcher : WatchersOf(mInstances, "zone-1", 3)) {
+  for (const auto& watcher : SelectWatchers(mInstances, "zone-1", 3)) {
     EXPECT_EQ(watcher.mZone, "zone-1");
     EXPECT_EQ(watcher.mRole, "companion");
   }
@@ -93,7 +93,7 @@
 {
   std::set<std::string> asked;
   for (const auto& instance : mInstances) {
-    const auto peers = PeersOf(mInstances, instance.mName, 3);
+    const auto peers = SelectPeers(mInstances, instance.mName, 3);
     ASSERT_EQ(peers.size(), 3U);
     for (const auto& peer : peers) {
       EXPECT_NE(peer.mName, instance.mName);
--- a/packages/transport/include/shuntjunction/transport/frame_channel.h
+++ b/packages/transport/include/shuntjunction/transport/frame_channel.h
@@ -81,7 +81,7 @@
   std::uint64_t PeerConfigVersion() const { return mPeerConfigVersion; }
 
   /// A version to put into a message: zero when the peer was told it before.
-  std::uint64_t VersionNews(std::uint64_t aVersion);
+  std::uint64_t UnannouncedVersion(std::uint64_t aVersion);
 
   /// Proves the secret as the side that connected.
   Task<state::Result<void>> HandshakeAsConnector(
--- a/packages/transport/src/frame_channel.cpp
+++ b/packages/transport/src/frame_channel.cpp
@@ -155,7 +155,7 @@
 }
 
 std::uint64_t
-FrameChannel::VersionNews(std::uint64_t aVersion)
+FrameChannel::UnannouncedVersion(std::uint64_t aVersion)
 {
   return std::exchange(mToldVersion, aVersion) == aVersion ? 0 : aVersion;
 }
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -237,7 +237,7 @@
                      { "x-weights-version", std::to_string(weights) },
                      { "x-cached-blocks", std::to_string(aHits) } };
   bool isGood = (co_await aExchange.BeginStream(std::move(header))).has_value();
-  const coordination::AnswerHead head{ aJob.mKind, "engine", model, 0 };
+  const coordination::ResponseMetadata head{ aJob.mKind, "engine", model, 0 };
   for (std::uint32_t i = aJob.mOffset;
        i < aJob.mTokens && isGood && !aJob.mIsGone;
        ++i) {
