--- a/packages/state/include/shuntjunction/state/crash_tracker.h
+++ b/packages/state/include/shuntjunction/state/crash_tracker.h
@@ -7,47 +7,49 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/request_digest.h"
 
-/// Which requests endpoints crash under.
+/// Tracks which requests make endpoints crash.
 namespace shuntjunction::state {
 
 /// Settings of a CrashTracker.
 struct CrashTrackerSettings
 {
-  /// Crashes of endpoints under one request after which it is quarantined. A
-  /// request that crashes every endpoint has no better use of a fourth; one
-  /// that only ran beside it is seldom there three times.
+  /// Number of endpoint crashes during one request after which the request is
+  /// quarantined. A request that crashes every endpoint must not reach a fourth
+  /// one; a request that merely ran alongside it rarely sees three crashes.
   int mQuarantineThreshold = 3;
-  /// Reports of one endpoint that differ by less are of one crash: several
-  /// relays see it, and an endpoint is back after some seconds at the earliest.
+  /// Reports about one endpoint that are closer together than this describe the
+  /// same crash: several relays see it, and a restart takes at least a few
+  /// seconds.
   Millis mDuplicateWindow{ 2000 };
-  /// A request under which nothing crashed for so long is suspected no more:
-  /// callers who come again do so within minutes.
+  /// A request with no crash for this long is no longer suspected: callers that
+  /// retry do so within minutes.
   Millis mSuspicionPeriod{ std::chrono::minutes(10) };
-  /// How long a quarantined request is refused. A crash costs everybody who
-  /// runs there, so that one trial an hour is what a fleet can bear.
+  /// How long a quarantined request is refused. A crash affects every request
+  /// on the endpoint, so a fleet can afford one trial an hour.
   Millis mQuarantine{ std::chrono::hours(1) };
-  /// Requests that are remembered; 4,096 with three crashes took 1.1 MB.
+  /// Maximum number of tracked requests; 4,096 requests with three crashes each
+  /// took 1.1 MB.
   std::size_t mMaxRequests = 4096;
 };
 
-/// An endpoint crashed while a request ran there.
+/// Reports that an endpoint crashed while a request was running on it.
 struct CrashReport
 {
   RequestDigest mRequest;
-  std::uint64_t mEndpoint = 0; ///< hash of its id, as PlacementHash
+  std::uint64_t mEndpoint = 0; ///< hash of the endpoint id, see PlacementHash
 };
 
-/// A report as one process tells it to another.
+/// A crash report as it is sent to another process.
 struct AgedCrashReport
 {
   CrashReport mReport;
   Millis mAge{ 0 }; ///< since the crash
 };
 
-/// Remembers under which requests endpoints crashed.
+/// Tracks the endpoint crashes that occurred during each request.
 ///
-/// A request that ends well anywhere is innocent: whatever crashed beside it,
-/// it crashes not every endpoint.
+/// A request that completes on any endpoint is cleared of suspicion: it does
+/// not crash every endpoint, so crashes during it had another cause.
 /// Thread safety: none; owned by one thread.
 class CrashTracker
 {
@@ -57,33 +59,36 @@
   {
   }
 
-  /// Takes a report.
+  /// Adds a report.
   ///
-  /// @param aAt  when the endpoint crashed
-  /// @return whether it is news: the crash was not known for this request
+  /// @param aAt  time of the crash
+  /// @return whether the crash was not yet known for this request
   bool Note(const CrashReport& aReport, TimePoint aAt);
 
-  /// Takes that a request ended well at an endpoint.
+  /// Clears a request that completed on an endpoint.
   ///
-  /// @return what was known of its crashes, for those who know it too
+  /// @return the reports that were dropped, so that other processes can drop
+  /// them too
   std::vector<CrashReport> Clear(const RequestDigest& aRequest);
 
-  /// Quarantines a request for a time, whatever is known of its crashes.
+  /// Quarantines a request for some time, regardless of its known crashes.
   ///
   /// @return whether it was not quarantined before
-  bool Quarantine(const RequestDigest& aRequest, TimePoint aNow, Millis aFor);
+  bool Quarantine(const RequestDigest& aRequest,
+                  TimePoint aNow,
+                  Millis aDuration);
 
-  /// Crashes under a request that are remembered.
+  /// Number of known crashes during a request.
   int Crashes(const RequestDigest& aRequest, TimePoint aNow) const;
 
-  /// How long a request is refused from now on; zero: it may run.
+  /// Remaining quarantine of a request; zero if it is not quarantined.
   Millis QuarantineLeft(const RequestDigest& aRequest, TimePoint aNow) const;
 
-  /// All reports that are remembered, those of the requests with the most
-  /// crashes first.
+  /// All known reports, ordered by the number of crashes of their request,
+  /// highest first.
   std::vector<AgedCrashReport> Reports(TimePoint aNow) const;
 
-  /// Requests that are remembered, and those of them that are refused.
+  /// Number of tracked requests, and how many of them are quarantined.
   std::size_t Suspects() const { return mRequests.size(); }
   std::size_t Quarantined(TimePoint aNow) const;
 
@@ -96,18 +101,17 @@
     TimePoint mAt;
   };
 
-  /// What is known of one request.
+  /// State of one tracked request.
   struct Record
   {
-    std::vector<Crash>
-      mCrashes; ///< the latest of them, at most mQuarantineThreshold
+    std::vector<Crash> mCrashes; ///< latest, up to mQuarantineThreshold
     TimePoint mLatest;
-    TimePoint mRefusedUntil;
+    TimePoint mQuarantinedUntil;
   };
 
   bool IsForgotten(const Record& aRecord, TimePoint aNow) const;
   Record& RecordOf(const RequestDigest& aRequest, TimePoint aNow);
-  void DropLeast(TimePoint aNow);
+  void EvictLowestRanked(TimePoint aNow);
 
   CrashTrackerSettings mSettings;
   std::map<RequestDigest, Record> mRequests;
--- a/packages/state/include/shuntjunction/state/descriptor_budget.h
+++ b/packages/state/include/shuntjunction/state/descriptor_budget.h
@@ -3,22 +3,24 @@
 #include <algorithm>
 #include <cstdint>
 
-/// How many connections a process may hold, by whom they are with.
+/// Limits on a process's open connections, by kind of peer.
 namespace shuntjunction::state {
 
-/// What a process may open, and what it needs beside callers and endpoints.
+/// Number of descriptors of a process, and how many are reserved for other uses
+/// than callers and endpoints.
 struct DescriptorSettings
 {
-  std::int64_t mTotal = 4096;   ///< that the process may hold
-  std::int64_t mReserved = 300; ///< for neither callers nor endpoints
+  std::int64_t mTotal = 4096;   ///< file descriptors the process may open
+  std::int64_t mReserved = 300; ///< for uses other than callers and endpoints
 };
 
-/// Divides a process's descriptors among callers, endpoints and peers.
+/// Divides a process's file descriptors among callers, endpoints and peers.
 ///
-/// Peers and the store have theirs reserved. Of the rest callers get at most
-/// half, since each may need a connection to an endpoint; endpoints get what
-/// callers leave. Without it a burst takes them all, and a caller whose
-/// connection can be neither taken nor refused waits in the kernel.
+/// Descriptors for peers and the store are reserved. Callers get at most half
+/// of the rest, since each may need a connection to an endpoint; endpoints get
+/// what the callers leave. Without these limits a burst of callers would use up
+/// all descriptors, and a connection that can be neither accepted nor refused
+/// would wait in the kernel.
 /// Thread safety: none; owned by the traffic thread.
 class DescriptorBudget
 {
@@ -28,20 +30,21 @@
   {
   }
 
-  /// Sets how many peers this process keeps a connection to.
+  /// Sets the number of peers that this process is connected to.
   void SetPeers(std::int64_t aPeers) { mPeers = aPeers; }
 
-  /// Callers that may be connected at once.
+  /// Maximum number of connected callers.
   std::int64_t MaxCallers() const { return Shared() / 2; }
 
-  /// Connections to endpoints that may be open beside so many callers.
+  /// Maximum number of endpoint connections while aCallers callers are
+  /// connected.
   std::int64_t MaxEndpointConnections(std::int64_t aCallers) const
   {
     return Shared() - std::min(aCallers, MaxCallers());
   }
 
 private:
-  /// What callers and endpoints have together; one each at least.
+  /// Descriptors shared by callers and endpoints; at least one for each.
   std::int64_t Shared() const
   {
     return std::max<std::int64_t>(
--- a/packages/state/include/shuntjunction/state/endpoint_availability.h
+++ b/packages/state/include/shuntjunction/state/endpoint_availability.h
@@ -10,21 +10,21 @@
 #include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/endpoint_notice.h"
 
-/// Whether one relay may send to an endpoint, from all that it knows of it.
+/// Decides whether a relay may send requests to an endpoint.
 ///
-/// Three sources report on an endpoint: the platform's list, its own answers,
-/// and attempts that failed. They meet here, and both the choice of an endpoint
-/// and each send ask here.
+/// Combines three sources: the platform's list, the endpoint's responses and
+/// failed attempts. It is consulted when an endpoint is chosen and again before
+/// each send.
 namespace shuntjunction::state {
 
-/// Why an endpoint gets no request at a moment.
+/// Why an endpoint currently gets no requests.
 enum class Obstacle : std::uint8_t
 {
   kNone,
-  kRemoved,    ///< it is not listed, or another incarnation took its place
-  kDraining,   ///< by the list, or by an answer of its own
-  kCooldown,   ///< it asked for a pause, or an attempt there failed
-  kRecovering, ///< after a cooldown it gets few requests at first
+  kRemoved,    ///< not listed, or replaced by another incarnation
+  kDraining,   ///< reported by the list or by one of its responses
+  kCooldown,   ///< it asked for a pause, or an attempt failed
+  kRecovering, ///< limited to a few requests after a cooldown
   kNoPermit,   ///< it advertises a rate limit, and no permit is held
 };
 
@@ -33,15 +33,15 @@
   { "none", "removed", "draining", "cooldown", "recovering", "no-permit" }
 };
 
-/// What the limit that an endpoint advertises asks of one request.
+/// What an endpoint's advertised rate limit requires of one request.
 struct PermitNeed
 {
   bool mIsNeeded = false;
   bool mIsHeld = false;
-  TimePoint mEarliestAt; ///< before this none is to be had
+  TimePoint mEarliestAt; ///< no permit is available before this time
 };
 
-/// Proof that an endpoint was asked for right before a request is sent there.
+/// Proof that availability was checked immediately before a send.
 class SendClearance
 {
 public:
@@ -58,27 +58,27 @@
   {
   }
 
-  std::uint32_t mRecovery; ///< that it is part of; 0: of none
+  std::uint32_t mRecovery; ///< recovery it counts towards; 0: none
 };
 
-/// What an answer changed.
+/// What changed because of a response.
 struct NoticeChange
 {
-  bool mIsDraining = false; ///< it is known to drain since this answer
-  Millis mCooldown{ 0 };    ///< that it asked for; zero: none
+  bool mIsDraining = false; ///< this response was the first to report draining
+  Millis mCooldown{ 0 };    ///< requested by the response; zero: none
 };
 
 /// Settings of EndpointAvailability.
 struct AvailabilitySettings
 {
-  /// Requests that may be under way at first after a cooldown that the endpoint
-  /// asked for; each that it accepts doubles them.
+  /// Number of concurrent requests that are allowed right after a cooldown that
+  /// the endpoint asked for; each accepted request doubles it.
   int mFirstTrials = 1;
-  /// With so many the endpoint has recovered.
+  /// The endpoint has recovered once this many requests are allowed.
   int mRecoveredTrials = 16;
 };
 
-/// One incarnation of an endpoint, as one relay may use it.
+/// Availability of one incarnation of an endpoint, as seen by one relay.
 ///
 /// Thread safety: none; owned by one thread.
 class EndpointAvailability
@@ -86,44 +86,46 @@
 public:
   explicit EndpointAvailability(const AvailabilitySettings& aSettings = {});
 
-  /// Takes the state in the list, or that the endpoint is not listed any more.
+  /// Sets the listed state, or that the endpoint is no longer listed.
   void SetListing(bool aIsListed, bool aIsDraining);
 
-  /// Takes what an answer of this incarnation advertises.
+  /// Applies what a response of this incarnation advertises.
   ///
-  /// A drain holds for good, whatever a list shows. Of cooldowns the one that
-  /// ends last holds, whichever answer came last.
-  /// @param aWallMillis  now, since the Unix epoch
+  /// Draining is final, whatever a list says. If several cooldowns overlap, the
+  /// one that ends last applies, regardless of the order of the responses.
+  /// @param aWallMillis  current time since the Unix epoch
   NoticeChange Take(const EndpointNotice& aNotice,
                     TimePoint aNow,
                     std::int64_t aWallMillis);
 
-  /// Takes that an attempt failed in a way after which the next would, too.
+  /// Pauses the endpoint after an attempt failed in a way that would make the
+  /// next one fail too.
   void Pause(Millis aPause, TimePoint aNow);
 
-  /// The first obstacle to a request that might be sent there soon: a permit
-  /// may still be acquired.
+  /// First obstacle to a request that may be sent soon; a permit can still be
+  /// acquired until then.
   Obstacle ObstacleAt(TimePoint aNow, const PermitNeed& aPermit = {}) const;
 
-  /// The first obstacle to a request that would be sent now.
+  /// First obstacle to a request that is to be sent now.
   Obstacle ObstacleAtSend(TimePoint aNow, const PermitNeed& aPermit) const;
 
-  /// Leave to send a request.
+  /// Grants clearance to send a request.
   ///
-  /// @pre  ObstacleAtSend gave kNone at aNow
+  /// @pre  ObstacleAtSend returned kNone for aNow
   SendClearance GrantClearance(TimePoint aNow);
 
-  /// Takes how a cleared request went: once, with the head of its answer or
-  /// without one.
+  /// Records the outcome of a cleared request. Called once per clearance,
+  /// whether or not a response head arrived.
   void Settle(SendClearance aClearance, bool aIsAccepted);
 
   bool IsListed() const { return mIsListed; }
   bool IsDraining() const { return mIsListedDraining || mIsReportedDraining; }
-  /// Whether an answer reported it, rather than the list.
+  /// Whether a response reported draining, as opposed to the list.
   bool IsReportedDraining() const { return mIsReportedDraining; }
-  /// End of the cooldown; in the past when there is none.
+  /// End of the cooldown; in the past if there is none.
   TimePoint CooldownEnd() const;
-  /// End of the cooldown that the endpoint asked for; in the past as above.
+  /// End of the cooldown that the endpoint asked for; in the past if there is
+  /// none.
   TimePoint RequestedCooldownEnd() const { return mCooldownUntil; }
 
 private:
@@ -134,14 +136,15 @@
   bool mIsListedDraining = false;
   bool mIsReportedDraining = false;
   TimePoint mPausedUntil;      ///< after a failed attempt
-  TimePoint mCooldownUntil;    ///< that the endpoint asked for
+  TimePoint mCooldownUntil;    ///< requested by the endpoint
   std::uint32_t mRecovery = 0; ///< number of the latest cooldown
-  int mTrialsAllowed = 0;      ///< at once; 0: recovered
-  int mTrialsUnderWay = 0;     ///< of the latest recovery
+  int mTrialsAllowed = 0;      ///< concurrent requests; 0: recovered
+  int mTrialsInFlight = 0;     ///< in the latest recovery
 };
 
-/// The availability of all endpoints, also of those that are not listed for a
-/// while: an entry that lapses and comes back is the same incarnation.
+/// Availability of all endpoints, including some that are not listed at
+/// present: an entry that expires and reappears belongs to the same
+/// incarnation.
 ///
 /// Thread safety: none; owned by one thread.
 class AvailabilityRegistry
@@ -151,27 +154,28 @@
 
   explicit AvailabilityRegistry(const AvailabilitySettings& aSettings = {});
 
-  /// That of an endpoint's incarnation, as it was when it was known before.
-  Ptr Find(const std::string& aId, EndpointIncarnation aLife);
+  /// Returns the state of an endpoint's incarnation, including what was known
+  /// of it before it was removed.
+  Ptr Find(const std::string& aId, EndpointIncarnation aIncarnation);
 
-  /// That of an incarnation that took the place of another.
-  Ptr Begin(const std::string& aId, EndpointIncarnation aLife);
+  /// Returns the state of an incarnation that replaced another one.
+  Ptr Begin(const std::string& aId, EndpointIncarnation aIncarnation);
 
-  /// Takes that an endpoint is not listed any more.
+  /// Records that an endpoint is no longer listed.
   void NoteRemoved(std::string_view aId);
 
-  /// Endpoints that are remembered though they are not listed.
+  /// Number of endpoints that are kept although they are not listed.
   std::size_t Removed() const { return mRemoved; }
 
 private:
-  /// Drops one of those that were removed, the one removed first.
-  void DropOldest();
+  /// Drops the endpoint that was removed first.
+  void EvictOldest();
 
   struct Entry
   {
     Ptr mAvailability;
     EndpointIncarnation mEndpointIncarnation;
-    std::uint64_t mRemovedAs = 0; ///< order of removal; 0: it is listed
+    std::uint64_t mRemovalOrder = 0; ///< order of removal; 0: listed
   };
 
   AvailabilitySettings mSettings;
--- a/packages/state/include/shuntjunction/state/endpoint_directory.h
+++ b/packages/state/include/shuntjunction/state/endpoint_directory.h
@@ -8,65 +8,71 @@
 
 #include "shuntjunction/state/relay_config.h"
 
-/// The endpoints that are listed, with care for a list that forgot some.
+/// The listed endpoints, tolerant of entries that expire during a store outage.
 namespace shuntjunction::state {
 
-/// How long after the list's return an entry that it lost is still believed.
+/// How long an entry that expired during an outage is kept after the store is
+/// back.
 ///
-/// Endpoints that live write their entries again within about two seconds.
+/// Live endpoints rewrite their entries within about two seconds.
 inline constexpr Millis kExpiredEntryGrace{ 2000 };
 
-/// Keeps the listed endpoints over outages of the list.
+/// Keeps track of the listed endpoints across store outages.
 ///
-/// An entry that goes while the list works is gone at once. One that goes
-/// while the list is away, or right after its return, may have lapsed only
-/// because it could not be renewed: it stays until kExpiredEntryGrace after the
-/// return.
+/// An entry that is removed while the store works is dropped at once. An entry
+/// that is removed during an outage, or shortly after it, may have expired only
+/// because it could not be renewed; it is kept until kExpiredEntryGrace after
+/// the outage.
 /// Thread safety: none; owned by one thread.
 class EndpointDirectory
 {
 public:
-  /// Takes the whole list.
+  /// Applies a complete list.
   ///
-  /// @return whether it brought anything new
+  /// @return whether anything changed
   bool MergeList(const std::vector<EndpointInfo>& aListed, TimePoint aNow);
 
-  /// Takes a changed or new entry; whether it brought anything new.
+  /// Adds or updates an entry; returns whether anything changed.
   ///
-  /// Of an entry that a former life wrote only its leaving counts: it costs a
-  /// living endpoint its work for a heartbeat at most, and one that leaves gets
-  /// none.
+  /// Of an entry written by a former incarnation only the leaving flag is used:
+  /// if wrong, it keeps work from a live endpoint for at most one heartbeat,
+  /// and an endpoint that leaves gets no new work.
   bool Put(const EndpointInfo& aEndpoint, TimePoint aNow);
 
-  /// Takes that an entry names no endpoint any more; whether one was known.
+  /// Drops an entry whose object no longer describes an endpoint; returns
+  /// whether it was known.
   ///
-  /// It was overwritten, so that it cannot have lapsed, and goes at once.
+  /// The object was overwritten, so the entry cannot have expired, and no grace
+  /// period applies.
   bool Drop(std::string_view aId);
 
-  /// Takes the end of an entry; whether it was not known yet.
+  /// Handles the removal of an entry; returns whether anything changed.
   bool Remove(std::string_view aId, TimePoint aNow);
 
-  /// Notes that a call to the store failed, at a time that may be past.
+  /// Records that a call to the store failed, possibly some time ago.
   ///
-  /// The time since its last answer does not count for the grace of lapsed
-  /// entries: nobody could write one again. The time before does, or calls that
-  /// fail now and then would keep an endpoint that is gone for good.
+  /// The time since the last answer does not count towards the grace period of
+  /// expired entries, since no entry could be renewed. The time before that
+  /// does count; otherwise occasional failed calls would keep an endpoint that
+  /// no longer exists forever.
   void NoteOutage(TimePoint aNow);
 
-  /// Notes that the store answered.
+  /// Records that the store answered.
   void NoteAnswer(TimePoint aNow);
 
-  /// Drops lapsed entries, and former lives, whose grace has passed; whether
-  /// there were any.
+  /// Applies the grace periods that have ended: drops expired entries, and
+  /// accepts a former incarnation that is still the only one reported. Returns
+  /// whether anything changed.
   bool Expire(TimePoint aNow);
 
-  /// All endpoints that are believed to exist, by id.
+  /// All endpoints that are assumed to exist, by id.
   ///
-  /// Of several at one address only the one whose life was listed last: an
-  /// endpoint that restarts under a new id leaves an entry that goes later.
+  /// If several share an address, only the one whose incarnation was listed
+  /// last is returned: an endpoint that restarts with a new id leaves an entry
+  /// that expires later.
   std::vector<EndpointInfo> Endpoints() const;
 
-  /// Entries that were passed over as written by a former life.
+  /// Number of ignored entries that a former incarnation had written.
   std::uint64_t StaleReports() const { return mStaleReports; }
 
 private:
@@ -74,19 +80,20 @@
   {
     EndpointInfo mInfo;
     IncarnationTracker mEndpointIncarnation;
-    std::optional<EndpointInfo> mFormer; ///< what a former life wrote last
-    std::uint64_t mFirstRevision = 0;    ///< of this life
-    bool mIsLapsed = false;
-    TimePoint mGoesAt; ///< of a lapsed entry
+    std::optional<EndpointInfo> mFormerEntry; ///< of a former incarnation
+    std::uint64_t mFirstRevision = 0;         ///< of this incarnation
+    bool mIsExpired = false;
+    TimePoint mRemoveAt; ///< set for an expired entry
   };
 
-  bool IsInGrace(TimePoint aNow) const;
-  /// Takes what a former life wrote; whether it leaves.
+  bool IsInGracePeriod(TimePoint aNow) const;
+  /// Handles an entry of a former incarnation; returns whether it newly reports
+  /// that the endpoint leaves.
   bool PutFormer(Entry& aEntry, const EndpointInfo& aEndpoint);
 
   std::map<std::string, Entry, std::less<>> mEntries;
   TimePoint mLastOutage;
-  TimePoint mLastWord; ///< the last answer, or failure, of a call
+  TimePoint mLastContact; ///< last answer or failure of a call
   bool mHadOutage = false;
   std::uint64_t mStaleReports = 0;
 };
--- a/packages/state/include/shuntjunction/state/endpoint_health.h
+++ b/packages/state/include/shuntjunction/state/endpoint_health.h
@@ -6,16 +6,16 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/enum_names.h"
 
-/// Whether a router sends work to an endpoint.
+/// Failure detection and ejection of endpoints.
 namespace shuntjunction::state {
 
-/// State of an endpoint in a router's eyes.
+/// Health of an endpoint as seen by a router.
 enum class HealthState : std::uint8_t
 {
   kHealthy,
-  kSuspect, ///< failed lately, but not often enough to be ejected
-  kEjected, ///< gets no work until its next trial
-  kTrial,   ///< one request is let through to see
+  kSuspect, ///< failed recently, but too rarely to be ejected
+  kEjected, ///< gets no requests until its next trial
+  kTrial,   ///< one request is let through as a test
 };
 
 /// Names of HealthState.
@@ -26,12 +26,12 @@
 /// Settings of EndpointHealth.
 struct HealthSettings
 {
-  int mFailuresToEject = 2;     ///< failures in a row that eject
-  Millis mFirstEjection{ 500 }; ///< doubles with each ejection in a row
+  int mFailuresToEject = 2;     ///< consecutive failures that eject
+  Millis mFirstEjection{ 500 }; ///< doubles with each consecutive ejection
   Millis mMaxEjection{ 15000 };
 };
 
-/// Lifecycle of one endpoint: healthy, suspect, ejected, trial.
+/// Health state machine of one endpoint.
 ///
 ///     healthy --failed--> suspect --failed n--> ejected --due--> trial
 ///     suspect, trial --succeeded--> healthy; trial --failed--> ejected
@@ -47,16 +47,16 @@
   EndpointHealth(const EndpointHealth&) = delete;
   EndpointHealth& operator=(const EndpointHealth&) = delete;
 
-  /// Notes an answer, whatever it said: the endpoint's companion lives.
+  /// Records a response of any status: the endpoint's companion is reachable.
   void Succeeded();
 
-  /// Notes a connection that failed or an answer that did not come.
+  /// Records a failed connection or a missing response.
   void Failed(TimePoint aNow);
 
-  /// Moves an ejected endpoint on to its trial when its time has come.
+  /// Moves an ejected endpoint to its trial when that is due.
   void Tick(TimePoint aNow);
 
-  /// Present state.
+  /// Current state.
   HealthState State() const;
 
 private:
--- a/packages/state/include/shuntjunction/state/endpoint_incarnation.h
+++ b/packages/state/include/shuntjunction/state/endpoint_incarnation.h
@@ -6,18 +6,17 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Which life of an endpoint a belief is about.
+/// Distinguishes the incarnations of an endpoint, that is, its process starts.
 namespace shuntjunction::state {
 
-/// One life of an endpoint, by the moment of its start.
+/// One incarnation of an endpoint, identified by its start time.
 ///
-/// An endpoint may start again under the id that it had. It then holds and
-/// knows nothing of before: neither cached parts nor requests, orders or
-/// counts.
+/// An endpoint may restart under the same id. It then has none of its former
+/// state: no cached parts, requests, orders or counters.
 class EndpointIncarnation
 {
 public:
-  /// A life of which nothing is known, as of endpoints that do not tell.
+  /// An unknown incarnation, for endpoints that do not report their start.
   EndpointIncarnation() = default;
 
   /// @param aStartedAt  Unix time of the start in ms, by the endpoint's clock
@@ -28,7 +27,7 @@
 
   bool IsKnown() const { return mStartedAt != kUnknown; }
 
-  /// Unix time of the start in ms; 0 when it is not known.
+  /// Unix time of the start in ms; 0 if unknown.
   std::int64_t StartedAt() const { return mStartedAt; }
 
   auto operator<=>(const EndpointIncarnation&) const = default;
@@ -39,45 +38,47 @@
   std::int64_t mStartedAt = kUnknown;
 };
 
-/// What a word about a life says beside what is believed.
+/// How a reported incarnation relates to the current one.
 enum class IncarnationUpdate : std::uint8_t
 {
-  kSame,   ///< the life that is believed, or none in particular
-  kNewer,  ///< another life, believed from now on: nothing of before holds
-  kFormer, ///< a life that is over: the word changes nothing
+  kSame,   ///< the current incarnation, or unknown
+  kNewer,  ///< another one, now current: former state is invalid
+  kFormer, ///< an incarnation that has ended; to be ignored
 };
 
-/// Time after which an earlier start is believed, if the later one was not
-/// heard of meanwhile. An endpoint that lives writes its entry anew about each
-/// 1.2 s, and its companion speaks each second.
+/// Time after which an earlier start is accepted if the later one was not
+/// reported meanwhile. A live endpoint rewrites its entry about every 1.2 s,
+/// and its companion sends a message every second.
 inline constexpr Millis kFormerIncarnationGrace{ 3000 };
 
-/// Decides which life of an endpoint is in force.
+/// Determines the current incarnation of an endpoint.
 ///
-/// A later start is believed at once. An earlier one is most often the word of
-/// the former life that comes late. But a clock may have run ahead before it
-/// was set right: an earlier start is believed once only that is heard of.
+/// A later start is accepted at once. An earlier start is usually a delayed
+/// report about the former incarnation, but it is valid if the endpoint's clock
+/// ran ahead and was then corrected. It is therefore accepted once it is the
+/// only one reported for kFormerIncarnationGrace.
 /// Thread safety: none; owned by one thread.
 class IncarnationTracker
 {
 public:
-  /// Takes what a source says, in whatever order its words come.
-  IncarnationUpdate Take(EndpointIncarnation aTold, TimePoint aNow);
+  /// Handles a report from any source; reports may arrive in any order.
+  IncarnationUpdate Take(EndpointIncarnation aReported, TimePoint aNow);
 
-  /// Takes what the endpoint itself answers to a question: that is its life.
-  IncarnationUpdate TakeSelfReport(EndpointIncarnation aTold);
+  /// Handles the endpoint's own answer to a query, which is always current.
+  IncarnationUpdate TakeSelfReport(EndpointIncarnation aReported);
 
-  /// Believes an earlier start whose grace has passed; whether one was.
+  /// Accepts an earlier start whose grace period has ended; returns whether
+  /// there was one.
   bool PromoteEarlier(TimePoint aNow);
 
-  /// The life that is believed.
+  /// The current incarnation.
   EndpointIncarnation Current() const { return mCurrent; }
 
 private:
-  void Believe(EndpointIncarnation aLife);
+  void Adopt(EndpointIncarnation aIncarnation);
 
   EndpointIncarnation mCurrent;
-  EndpointIncarnation mEarlier; ///< told since mEarlierSince; unknown: none was
+  EndpointIncarnation mEarlier; ///< reported since mEarlierSince; unknown: none
   TimePoint mEarlierSince;
 };
 
--- a/packages/state/include/shuntjunction/state/endpoint_limits.h
+++ b/packages/state/include/shuntjunction/state/endpoint_limits.h
@@ -11,62 +11,66 @@
 #include "shuntjunction/state/share_ownership.h"
 #include "shuntjunction/state/usage_limit.h"
 
-/// Rates that endpoints in need take from all relays together.
+/// Rate limits that overloaded endpoints advertise, enforced across all relays.
 ///
-/// An endpoint names its rate in its answers, and each answer reaches one relay
-/// only. One companion keeps the rate: the one beside the endpoint, or, of an
-/// endpoint that has none, the one that rendezvous names. Relays report to it
-/// what answers say, it tells all of them, and each takes a place from it for
-/// each request that it sends there.
+/// An endpoint advertises its rate in its responses, and each response reaches
+/// only one relay. One companion, the owner, holds the rate: the companion on
+/// the endpoint's host or, if there is none, the one chosen by rendezvous
+/// hashing. Relays report advertised rates to the owner, which distributes them
+/// to all relays. Each relay acquires a permit from the owner for each request
+/// that it sends.
 namespace shuntjunction::state {
 
-/// The hash of one life of an endpoint: another life has named nothing yet.
+/// Hash of one incarnation of an endpoint, since a rate does not outlive the
+/// incarnation that advertised it.
 /// Thread safety: pure.
 LimitHash
-HashOfIncarnation(std::string_view aEndpointId, EndpointIncarnation aLife);
+HashOfIncarnation(std::string_view aEndpointId,
+                  EndpointIncarnation aIncarnation);
 
-/// Which endpoint a message is about, and whether its companion is asked.
+/// The endpoint that a message is about.
 struct LimitedEndpoint
 {
   LimitHash mHash = 0;
-  bool mIsOnSameHost = false; ///< the companion that is asked stands beside it
+  bool mIsOnSameHost = false; ///< the addressed companion runs on its host
 };
 
-/// A relay's question for a place: leave to send one request.
+/// A relay's request for a permit to send one request.
 struct PlaceAsk
 {
   LimitedEndpoint mEndpoint;
-  double mPerSecond = 0; ///< as the relay knows it, for a keeper that restarted
+  double mPerSecond = 0; ///< as the relay knows it, for a restarted owner
   bool mIsUrgent = false;
 };
 
-/// A keeper's answer.
+/// The owner's reply to a PlaceAsk.
 struct PlaceGrant
 {
   bool mIsGiven = false;
-  /// What the keeper knew of the rate when it gave the place; see RateReport.
+  /// Version of the rate when the permit was granted; see RateReport.
   std::uint32_t mRateVersion = 0;
-  Millis mRefill{ 0 }; ///< until there could be one, if none was given
+  Millis mRefill{ 0 }; ///< until a permit may be free; if denied
 };
 
-/// What an endpoint's answer said, as a relay reports it.
+/// What an endpoint's response advertised, as reported by a relay.
 struct RateReport
 {
   LimitedEndpoint mEndpoint;
   EndpointRate mRate;
-  /// Of the place with which the answered request was sent. That a rate is
-  /// absent ends it only if no answer named one since: answers pass each other.
+  /// Version from the permit of the answered request. A response without a rate
+  /// ends the limit only if no response has advertised one since, because
+  /// responses can overtake each other.
   std::uint32_t mRateVersion = 0;
 };
 
-/// What a keeper tells all relays.
+/// What an owner sends to all relays.
 struct RateNews
 {
   LimitHash mEndpoint = 0;
-  std::optional<double> mPerSecond; ///< empty: none is named any more
+  std::optional<double> mPerSecond; ///< empty: no rate is advertised any more
 };
 
-/// What was asked of one rate since that was last told.
+/// Permit requests under one rate since the last collection.
 struct RateUsage
 {
   LimitHash mEndpoint = 0;
@@ -78,55 +82,59 @@
 /// Settings of EndpointLimits.
 struct EndpointLimitsSettings
 {
-  /// The rate by which an endpoint is asked at least, whatever it names: nobody
-  /// would hear of the end of a rate at which nothing is sent. Requests a
-  /// second.
+  /// Minimum enforced rate in requests per second, whatever an endpoint
+  /// advertises: if nothing were sent, the end of the limit would never be
+  /// noticed.
   double mMinRate = 0.25;
-  /// A rate above is taken for this one, in requests a second.
+  /// Maximum enforced rate in requests per second.
   double mMaxRate = 1e6;
-  /// What may be sent at once: so many seconds of the rate, and requests.
+  /// Burst size: this many seconds of the rate plus this many requests.
   double mBurstSeconds = 1.0;
   double mBurstRequests = 2.0;
-  /// Places that only urgent requests take: they go first that way.
+  /// Permits reserved for urgent requests, so that they go first.
   double mUrgentReserve = 0.5;
-  /// A rate of which nothing is heard for so long is forgotten by its keeper.
+  /// The owner drops a rate that was neither reported nor requested for this
+  /// long.
   Millis mForgetAfter{ 60000 };
   std::size_t mMaxEndpoints = 4096;
-  /// A relay that asked a companion that is not the keeper asks again then.
+  /// Delay after which a relay that asked a companion other than the owner asks
+  /// again.
   Millis mNotOwnerRetryDelay{ 500 };
 };
 
-/// The rates that one companion keeps.
+/// The advertised rates that one companion owns.
 ///
-/// Whatever becomes of relays, what is given of a rate in any time is at most
-/// the rate and one burst. A keeper begins with nothing to give.
+/// Over any period the permits granted for a rate never exceed the rate plus
+/// one burst, whatever happens to the relays. A new owner starts with an empty
+/// bucket.
 ///
 /// Thread safety: none; owned by one thread.
 class EndpointLimits
 {
 public:
-  /// @param aListings  of companions; outlives this
-  /// @param aFirstEdition  drawn anew for each process
+  /// @param aOwnership  of shares among companions; outlives this
+  /// @param aFirstVersion  random for each process
   EndpointLimits(const EndpointLimitsSettings& aSettings,
-                 ShareOwnership& aListings,
-                 std::uint32_t aFirstEdition);
+                 ShareOwnership& aOwnership,
+                 std::uint32_t aFirstVersion);
 
-  /// Takes what an endpoint's answer said; what all relays shall hear of it.
+  /// Handles a report; returns the update to send to all relays, if any.
   std::optional<RateNews> Note(const RateReport& aReport, TimePoint aNow);
 
-  /// Gives a place, or says when there could be one.
+  /// Grants a permit, or returns when one may be available.
   PlaceGrant Take(const PlaceAsk& aAsk, TimePoint aNow);
 
-  /// Takes back a place whose request was not sent.
+  /// Takes back a permit whose request was not sent.
   void GiveBack(LimitHash aEndpoint);
 
-  /// Forgets rates that another companion keeps by the newest list.
+  /// Drops the rates that another companion owns according to the newest list.
   void ForgetUnowned();
 
-  /// What is known, for a relay that connects.
+  /// All current rates, for a relay that connects.
   std::vector<RateNews> Known() const;
 
-  /// What was asked of each rate since the last call, if anything was.
+  /// Permit requests per rate since the last call; rates without any are left
+  /// out.
   std::vector<RateUsage> CollectUsage();
 
 private:
@@ -136,8 +144,8 @@
     std::uint32_t mRateVersion = 0;
     double mNamed = 0;
     bool mIsOnSameHost = false;
-    TimePoint mHeardAt;
-    std::uint64_t mGiven = 0; ///< since that was last told
+    TimePoint mLastUsedAt;
+    std::uint64_t mGiven = 0; ///< since the last collection
     std::uint64_t mDenied = 0;
   };
 
@@ -146,7 +154,7 @@
   Limited& Find(const LimitedEndpoint& aEndpoint,
                 double aPerSecond,
                 TimePoint aNow);
-  void ForgetSilent(TimePoint aNow);
+  void EvictIdle(TimePoint aNow);
 
   EndpointLimitsSettings mSettings;
   ShareOwnership& mOwnership;
--- a/packages/state/include/shuntjunction/state/endpoint_notice.h
+++ b/packages/state/include/shuntjunction/state/endpoint_notice.h
@@ -5,12 +5,12 @@
 
 namespace shuntjunction::state {
 
-/// What one answer advertises of the endpoint that gave it.
+/// What a response advertises about the endpoint that sent it.
 struct EndpointNotice
 {
-  bool mIsDraining = false; ///< it takes no new work
-  RetryAfter mRetryAfter;   ///< of a refusal: it wants to be sent nothing
-  EndpointRate mRate;       ///< that it takes from all relays together
+  bool mIsDraining = false; ///< accepts no new work
+  RetryAfter mRetryAfter;   ///< with a refusal: how long to send nothing
+  EndpointRate mRate;       ///< limit across all relays
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/endpoint_rate.h
+++ b/packages/state/include/shuntjunction/state/endpoint_rate.h
@@ -5,15 +5,15 @@
 
 #include "shuntjunction/state/enum_names.h"
 
-/// The rate that an endpoint in need says it takes.
+/// Parses the rate limit that an overloaded endpoint advertises.
 namespace shuntjunction::state {
 
-/// What an endpoint's answer says of the requests that it takes.
+/// Whether a response advertises a rate limit.
 enum class RateNotice : std::uint8_t
 {
-  kAbsent,     ///< it names no rate
-  kNamed,      ///< it names one
-  kUnreadable, ///< what it names is no rate: neither a limit nor its end
+  kAbsent,     ///< no rate given
+  kNamed,      ///< a rate is given
+  kUnreadable, ///< invalid value: neither sets nor ends a limit
 };
 
 /// Names of RateNotice.
@@ -21,17 +21,17 @@
   { "absent", "named", "unreadable" }
 };
 
-/// A rate as an endpoint's answer names it.
+/// A rate limit as advertised in a response.
 struct EndpointRate
 {
   RateNotice mNotice = RateNotice::kAbsent;
-  double mPerSecond = 0; ///< requests, from all relays together
+  double mPerSecond = 0; ///< requests, across all relays
 };
 
-/// Reads a decimal number of requests a second.
+/// Parses a decimal number of requests per second.
 ///
-/// Unreadable are an empty text, one that is no finite number, and a negative
-/// one. Thread safety: pure.
+/// Empty, non-finite and negative values are unreadable.
+/// Thread safety: pure.
 EndpointRate
 ReadEndpointRate(std::string_view aText);
 
--- a/packages/state/include/shuntjunction/state/endpoint_silence.h
+++ b/packages/state/include/shuntjunction/state/endpoint_silence.h
@@ -2,72 +2,75 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Whether an endpoint's machine has fallen silent.
+/// Detects endpoints whose machine no longer responds.
 namespace shuntjunction::state {
 
 /// Settings of IsSilent.
 struct SilenceSettings
 {
-  /// Bytes of the endpoint itself that are younger prove that it works,
-  /// whatever its companion does.
+  /// An endpoint that sent bytes more recently than this works, whatever its
+  /// companion's state.
   Millis mRecentBytes{ 600 };
-  /// Companions speak once a second; one that is late by more is silent.
+  /// A companion sends a message every second; without one for this long it
+  /// counts as silent.
   Millis mCompanionTimeout{ 1300 };
-  /// The same beside an endpoint that is silent too while a request waits
-  /// there.
+  /// Companion timeout if a request is pending and the endpoint is silent too.
   Millis mCompanionTimeoutIfPending{ 600 };
-  /// Longer than an endpoint under load leaves all its answers without bytes.
+  /// An endpoint with pending requests that sends no bytes for this long counts
+  /// as silent; even under load, some response sends bytes sooner.
   Millis mBytesTimeout{ 800 };
 };
 
-/// What was heard of an endpoint and of its companion.
+/// When an endpoint and its companion were last heard from.
 struct LivenessSignals
 {
-  bool mHasCompanionMessage = false;  ///< its companion said anything yet
-  Millis mSinceCompanionMessage{ 0 }; ///< since its companion's last word
-  bool mIsCompanionClosed =
-    false; ///< its companion's connection was ended there
-  bool mHasPendingRequest =
-    false; ///< a request waits for bytes of the endpoint
-  Millis mSinceEndpointBytes{ 0 }; ///< since its last bytes, or since one waits
+  bool mHasCompanionMessage = false;  ///< its companion has sent any message
+  Millis mSinceCompanionMessage{ 0 }; ///< since its companion's last message
+  bool mIsCompanionClosed = false;    ///< its side closed the connection
+  bool mHasPendingRequest = false;    ///< a request waits for its bytes
+  Millis mSinceEndpointBytes{ 0 };    ///< since bytes, or since the wait began
 };
 
-/// Whether neither an endpoint nor its companion shows that their machine runs.
+/// Whether neither the endpoint nor its companion shows that their machine
+/// runs.
 ///
-/// A machine that stops, or is cut off, ends no connection: requests that are
-/// sent there wait until their callers leave, and are run when it goes on. A
-/// companion alone that ended leaves its endpoint working, and its machine says
-/// so by ending the connection. Thread safety: pure.
+/// A machine that stops or is cut off does not close its connections: requests
+/// sent to it wait until their callers give up, and are executed when it
+/// resumes. If only the companion exits, the endpoint keeps working, and the
+/// machine closes the companion's connection.
+/// Thread safety: pure.
 inline bool
-IsSilent(const LivenessSignals& aSigns, const SilenceSettings& aSettings = {})
+IsSilent(const LivenessSignals& aSignals, const SilenceSettings& aSettings = {})
 {
-  if (!aSigns.mHasCompanionMessage || aSigns.mIsCompanionClosed) {
+  if (!aSignals.mHasCompanionMessage || aSignals.mIsCompanionClosed) {
     return false;
   }
-  if (aSigns.mHasPendingRequest &&
-      aSigns.mSinceEndpointBytes < aSettings.mRecentBytes) {
+  if (aSignals.mHasPendingRequest &&
+      aSignals.mSinceEndpointBytes < aSettings.mRecentBytes) {
     return false;
   }
-  const bool isAwaitedInVain =
-    aSigns.mHasPendingRequest &&
-    aSigns.mSinceEndpointBytes >= aSettings.mBytesTimeout;
-  return aSigns.mSinceCompanionMessage >= aSettings.mCompanionTimeout ||
-         (isAwaitedInVain && aSigns.mSinceCompanionMessage >=
-                               aSettings.mCompanionTimeoutIfPending);
+  const bool isEndpointOverdue =
+    aSignals.mHasPendingRequest &&
+    aSignals.mSinceEndpointBytes >= aSettings.mBytesTimeout;
+  return aSignals.mSinceCompanionMessage >= aSettings.mCompanionTimeout ||
+         (isEndpointOverdue && aSignals.mSinceCompanionMessage >=
+                                 aSettings.mCompanionTimeoutIfPending);
 }
 
-/// Whether a machine has stopped under the requests that wait there: both the
+/// Whether a machine has stopped while requests are pending on it: both the
 /// endpoint and its companion have been silent for longer than load explains.
 ///
-/// Stricter than IsSilent: a request that is moved is read again elsewhere.
+/// Stricter than IsSilent, because a request that is moved has to be read again
+/// elsewhere.
 /// Thread safety: pure.
 inline bool
-HasStopped(const LivenessSignals& aSigns, const SilenceSettings& aSettings = {})
+HasStopped(const LivenessSignals& aSignals,
+           const SilenceSettings& aSettings = {})
 {
-  return aSigns.mHasCompanionMessage && !aSigns.mIsCompanionClosed &&
-         aSigns.mHasPendingRequest &&
-         aSigns.mSinceEndpointBytes >= aSettings.mBytesTimeout &&
-         aSigns.mSinceCompanionMessage >= aSettings.mCompanionTimeout;
+  return aSignals.mHasCompanionMessage && !aSignals.mIsCompanionClosed &&
+         aSignals.mHasPendingRequest &&
+         aSignals.mSinceEndpointBytes >= aSettings.mBytesTimeout &&
+         aSignals.mSinceCompanionMessage >= aSettings.mCompanionTimeout;
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/endpoint_table.h
+++ b/packages/state/include/shuntjunction/state/endpoint_table.h
@@ -11,18 +11,18 @@
 #include "shuntjunction/state/endpoint_health.h"
 #include "shuntjunction/state/handles.h"
 
-/// The endpoints that a router knows, with what it has seen of each.
+/// The endpoints known to a router, with their observed state.
 namespace shuntjunction::state {
 
 /// Roles of instances in the platform's list.
 inline constexpr std::string_view kCompanionRole = "companion";
 inline constexpr std::string_view kRouterRole = "router";
 
-/// An instance as the platform lists it.
+/// An instance in the platform's list.
 struct InstanceInfo
 {
   std::string mName;
-  std::string mAddress; ///< "host:port" of its frames; IP numbers only
+  std::string mAddress; ///< "host:port" of its frame listener; numeric IP only
   std::string mZone;    ///< availability zone
   std::string mRole;    ///< kRouterRole or kCompanionRole
   bool mIsLeaving = false;
@@ -30,15 +30,15 @@
   bool operator==(const InstanceInfo&) const = default;
 };
 
-/// What an endpoint said of itself, in-band.
+/// Load that an endpoint reports in-band.
 struct EndpointLoad
 {
-  std::int64_t mWaitMicros = 0;     ///< engine time that stands before new work
+  std::int64_t mWaitMicros = 0;     ///< engine time queued ahead of new work
   std::int64_t mMicrosPerBlock = 0; ///< to compute one missing block
-  TimePoint mAt;                    ///< when it was heard; epoch when never
+  TimePoint mAt;                    ///< time of the report; epoch: never
 };
 
-/// One endpoint.
+/// An endpoint and its observed state.
 struct EndpointEntry
 {
   InstanceInfo mInstance;
@@ -46,9 +46,9 @@
   std::uint64_t mNameHash = 0;
   EndpointHealth mHealth;
   EndpointLoad mLoad;
-  std::int64_t mSentMicros = 0; ///< work sent there since mLoad was heard
-  TimePoint mReportedLeavingAt; ///< when its companion said so; epoch: never
-  bool mIsListed = false;       ///< stands in the platform's list
+  std::int64_t mSentMicros = 0; ///< work sent since mLoad was reported
+  TimePoint mReportedLeavingAt; ///< by its companion; epoch: never
+  bool mIsListed = false;       ///< in the platform's list
 };
 
 /// Settings of an EndpointTable.
@@ -58,16 +58,17 @@
   double mMaxEjectedShare = 0.5; ///< of a model's endpoints
 };
 
-/// How long an endpoint's word that it leaves holds against a list that still
-/// calls it live; then it is asked again.
+/// How long an endpoint's report that it is leaving overrides a list that still
+/// shows it as live; after that it is asked again.
 inline constexpr Millis kReportedLeavingTtl{ 30000 };
 
-/// All endpoints, by handle and by what they serve.
+/// All endpoints, by handle and by model or service.
 ///
-/// The platform's list says who may exist; what an endpoint's companion says
-/// of itself goes first. When more than the allowed share of a model's
-/// endpoints is ejected, all are used again: then the fault is more likely
-/// near the router than in so many endpoints at once.
+/// The platform's list determines which endpoints exist; what an endpoint's
+/// companion reports about itself takes precedence over the list. If more than
+/// the allowed share of a model's endpoints is ejected, all of them are used
+/// again: the cause is then more likely near the router than in that many
+/// endpoints at once.
 ///
 /// Thread safety: none; owned by one thread.
 class EndpointTable
@@ -75,13 +76,13 @@
 public:
   explicit EndpointTable(const EndpointTableSettings& aSettings);
 
-  /// Takes the configuration and the platform's list of instances.
+  /// Applies the configuration and the platform's list of instances.
   ///
-  /// Handles stay valid for endpoints that stay.
+  /// Handles of endpoints that remain stay valid.
   void Update(const ConfigSnapshot& aConfig,
               const std::vector<InstanceInfo>& aInstances);
 
-  /// Endpoints of a model or service that may get new work, any order.
+  /// Endpoints of a model or service that may get new work, in any order.
   std::vector<EndpointHandle> Usable(std::string_view aServes, TimePoint aNow);
 
   /// Whether an endpoint is listed and neither leaving nor ejected.
@@ -96,19 +97,19 @@
     return mEntries[aHandle.mIndex];
   }
 
-  /// Handle of a name; invalid when unknown.
+  /// Handle for a name; invalid if unknown.
   EndpointHandle Find(std::string_view aName) const;
 
-  /// Notes news of load that came in-band.
+  /// Records a load report that arrived in-band.
   void NoteLoad(EndpointHandle aHandle, const EndpointLoad& aLoad);
 
-  /// Notes that an endpoint's companion takes no new work.
+  /// Records that an endpoint's companion accepts no new work.
   void NoteLeaving(EndpointHandle aHandle, TimePoint aNow);
 
-  /// Notes that a new connection to a companion was opened.
+  /// Records that a new connection to a companion was opened.
   void NoteReconnected(EndpointHandle aHandle);
 
-  /// All entries, gone ones included (mIsListed is false).
+  /// All entries, including removed ones (mIsListed is false).
   const std::vector<EndpointEntry>& Entries() const { return mEntries; }
 
 private:
--- a/packages/state/include/shuntjunction/state/freshness.h
+++ b/packages/state/include/shuntjunction/state/freshness.h
@@ -5,16 +5,16 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Age of what is believed, suspended time included.
+/// Age of cached state, including time during which the machine was suspended.
 namespace shuntjunction::state {
 
-/// How long each question to the source may wait for news, if a belief may be
-/// acted on until its confirmation is as old as a bound.
+/// How long each long-poll request to the source may wait, if the state may be
+/// used until its confirmation is as old as aBound.
 ///
-/// An answer confirms the moment of its question, so that a belief is up to two
-/// waits old when the source falls silent: with a fifth of the bound three
-/// fifths of it are left to go on in an outage of the source. Shorter waits ask
-/// more often and leave little more.
+/// A response confirms the state as of the time of the request, so the state is
+/// up to two waits old when the source stops responding. With a wait of a fifth
+/// of the bound, three fifths remain to bridge an outage of the source. Shorter
+/// waits would mean more requests and gain little.
 inline Millis
 ConfirmationWait(Millis aBound)
 {
@@ -22,15 +22,15 @@
   return aBound / kWaitsPerBound;
 }
 
-/// When a belief was last confirmed by its source.
+/// When cached state was last confirmed by its source.
 ///
-/// The time is that of sending the confirming question, so that whatever the
-/// source knew by then is known here.
+/// The time is that at which the confirming request was sent: everything the
+/// source knew by then is included.
 /// Thread safety: all methods may be called from any thread.
 class Freshness
 {
 public:
-  /// Notes a confirmation; an older one than before changes nothing.
+  /// Records a confirmation; one older than the current one has no effect.
   void Confirm(TimePoint aAskedAt)
   {
     const auto asked = aAskedAt.time_since_epoch().count();
@@ -39,21 +39,21 @@
     }
   }
 
-  /// Notes a confirmation that another process told, with its age there when it
-  /// answered.
+  /// Records a confirmation that another process relayed, with its age there at
+  /// the time of the response.
   ///
-  /// The answer was given after the question was asked. So the confirmation is
-  /// no older than its age was at the question, however long either process
-  /// stood still and however long the answer was on its way.
-  void ConfirmFromPeer(TimePoint aAskedAt, Millis aToldAge)
+  /// The response was sent after the request, so the confirmation is at most
+  /// aReportedAge older than the request, regardless of suspensions of either
+  /// process and of the response's transit time.
+  void ConfirmFromPeer(TimePoint aAskedAt, Millis aReportedAge)
   {
-    Confirm(aAskedAt - aToldAge);
+    Confirm(aAskedAt - aReportedAge);
   }
 
-  /// Whether it was confirmed at all.
+  /// Whether the state was ever confirmed.
   bool IsKnown() const { return mConfirmed.load() != kNever; }
 
-  /// Time since the confirming question; very long when there was none.
+  /// Time since the confirming request; Millis::max() if there was none.
   Millis Age(TimePoint aNow) const
   {
     const auto confirmed = mConfirmed.load();
--- a/packages/state/include/shuntjunction/state/jittered_pause.h
+++ b/packages/state/include/shuntjunction/state/jittered_pause.h
@@ -4,13 +4,13 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Pauses that many processes do not end together.
+/// Randomized pauses, so that processes do not resume at the same time.
 namespace shuntjunction::state {
 
-/// A time between half of a pause and the whole of it: processes that lost a
-/// peer together do not come back together.
+/// Returns a random time between half the pause and the whole pause, so that
+/// processes that lost a peer together do not reconnect together.
 ///
-/// Thread safety: pure but for aRandom.
+/// Thread safety: pure except for aRandom.
 inline Millis
 JitteredPause(Millis aPause, RandomSource& aRandom)
 {
--- a/packages/state/include/shuntjunction/state/limit_shares.h
+++ b/packages/state/include/shuntjunction/state/limit_shares.h
@@ -12,81 +12,84 @@
 #include "shuntjunction/state/share_ownership.h"
 #include "shuntjunction/state/usage_limit.h"
 
-/// A team's limit over all relays: cut into shares, each kept by one companion.
+/// Enforces a team's limit across all relays by splitting it into shares, each
+/// owned by one companion.
 ///
-/// A relay takes what a request needs from the companions that keep its team's
-/// shares, one after the other, before it sends the request. What a companion
-/// gave is gone from its share, whatever becomes of the relay; what it forgets
-/// by a restart it never gives again. So nobody has to know what all relays
-/// let through, and a relay that reaches no companion lets nothing through.
-/// Several shares instead of one, so that the loss of a companion takes a part
-/// of the limit from a team, and not all of it.
+/// Before a relay sends a request, it takes the required amount from the
+/// companions that own the team's shares, one after the other. Granted amounts
+/// are deducted from the share, whatever happens to the relay; a companion that
+/// restarts never grants again what it has forgotten. So no process needs to
+/// know what all relays admit, and a relay that reaches no companion admits
+/// nothing. With several shares the loss of a companion costs a team only part
+/// of its limit.
 namespace shuntjunction::state {
 
-/// Shares of each limit. A team that uses up to three quarters of its limit
-/// notices the loss of one companion in nothing.
+/// Number of shares per limit. A team that uses at most three quarters of its
+/// limit is not affected by the loss of one companion.
 inline constexpr std::size_t kSharesPerLimit = 4;
 
-/// Most that one request counts, in a limit's unit: no prompt and answer are
+/// Maximum amount of one request, in the limit's unit: no prompt and answer are
 /// longer.
 inline constexpr std::uint32_t kMaxUsage = 100'000'000;
 
-/// Names a team where bytes are scarce.
+/// Compact id of a team.
 using TeamHash = LimitHash;
 
 /// The hash of a team's name. Thread safety: pure.
 TeamHash
 HashOfTeam(std::string_view aTeam);
 
-/// A relay's question for a part of a limit.
+/// A relay's request for part of a share.
 struct ShareAsk
 {
   ShareKey mKey;
-  UsageLimit mLimit;          ///< the team's whole, as the relay knows it
-  std::uint64_t mVersion = 0; ///< of the configuration that says so
-  std::uint32_t mAmount = 0;  ///< that is wanted
+  UsageLimit mLimit;          ///< the team's whole limit, as known to the relay
+  std::uint64_t mVersion = 0; ///< version of the configuration with this limit
+  std::uint32_t mAmount = 0;  ///< requested amount
 };
 
-/// What a companion gives.
+/// A companion's reply to a ShareAsk.
 struct ShareGrant
 {
-  std::uint32_t mAmount = 0; ///< at most what was wanted
-  Millis mRefill{ 0 };       ///< until the rest could be given
+  std::uint32_t mAmount = 0; ///< at most the requested amount
+  Millis mRefill{ 0 };       ///< time until the rest would be available
 };
 
-/// Settings of a LimitShares.
+/// Settings of LimitShares.
 struct LimitSharesSettings
 {
   ShareOwnershipSettings mOwnership;
-  /// Added to a limit's burst: half of what the operator tolerates beyond it.
-  /// The other half is for the time between a grant and a request's arrival.
+  /// Added to a limit's burst: half of the overrun that the operator tolerates.
+  /// The other half covers the time between a grant and the arrival of the
+  /// request.
   double mBurstTolerance = 0;
-  /// Buckets that are remembered; a share that is full needs none.
+  /// Maximum number of stored buckets; a full bucket need not be stored.
   std::size_t mMaxBuckets = 16384;
 };
 
-/// A companion's shares of the teams' limits.
+/// The shares of the teams' limits that one companion owns.
 ///
 /// Thread safety: none; owned by one thread.
 class LimitShares
 {
 public:
-  /// @param aOwnHost  of this companion, as lists name it
+  /// @param aOwnHost  host of this companion as it appears in lists
   LimitShares(const LimitSharesSettings& aSettings, std::string aOwnHost);
 
-  /// Takes the companions that are listed now; whether that is news.
+  /// Sets the listed companions; returns whether they changed.
   bool SetHosts(std::vector<std::string> aHosts, TimePoint aNow);
 
-  /// Gives what it has of a share; nothing of one that it doesn't keep.
+  /// Grants what is available of a share; nothing of a share that this
+  /// companion does not own.
   ShareGrant Take(const ShareAsk& aAsk, TimePoint aNow);
 
-  /// Takes back what was given and not used.
+  /// Returns a granted amount that was not used.
   void GiveBack(const ShareKey& aKey, std::uint32_t aAmount);
 
-  /// The lists of companions, which other keepers of limits share.
+  /// Ownership of shares, also used for other kinds of limits.
   ShareOwnership& Ownership() { return mOwnership; }
 
-  /// Shares that were asked for lately.
+  /// Number of shares with a bucket.
   std::size_t Buckets() const { return mBuckets.size(); }
 
 private:
@@ -98,64 +101,67 @@
 
   UsageLimit LimitOfShare(const UsageLimit& aWhole) const;
   Share& ShareOf(const ShareAsk& aAsk, TimePoint aNow);
-  void ForgetFull(TimePoint aNow);
+  void EvictFull(TimePoint aNow);
 
   LimitSharesSettings mSettings;
   ShareOwnership mOwnership;
   std::map<ShareKey, Share> mBuckets;
 };
 
-/// A companion that a relay may ask for a share.
+/// A share, and the companion to request it from.
 struct ShareSource
 {
   ShareKey mKey;
   std::string mHost;
 };
 
-/// The companion that keeps an endpoint's rate.
+/// The companion that owns an endpoint's rate.
 struct RateOwner
 {
   std::string mHost;
-  bool mIsOnSameHost = false; ///< it stands beside the endpoint
+  bool mIsOnSameHost = false; ///< it runs on the endpoint's host
 };
 
-/// Why a relay leaves a share out.
+/// Why a relay skips a share.
 enum class ShareState : std::uint8_t
 {
   kOpen,
   kEmpty,  ///< its companion had nothing left
-  kSilent, ///< its companion could not be asked
+  kSilent, ///< its companion did not reply
 };
 
-/// Where a relay asks for its teams' shares, and which it leaves out for now.
+/// Tells a relay where to request its teams' shares, and which shares to skip
+/// for now.
 ///
 /// Thread safety: none; owned by the traffic thread.
 class ShareDirectory
 {
 public:
-  /// @param aSeed  of this relay: relays begin with different shares
+  /// @param aSeed  differs between relays, so that they start with different
+  /// shares
   explicit ShareDirectory(std::uint64_t aSeed)
     : mSeed(aSeed)
   {
   }
 
-  /// Takes the companions that are listed now, by host, with their zones.
+  /// Sets the listed companions: zones by host.
   void SetHosts(std::map<std::string, std::string> aZoneByHost);
 
-  /// Whom to ask for a team's shares, in this order: companions of the own zone
-  /// first. Empty while no companion is known.
+  /// The companions to ask for a team's shares, in order, those of aZone first.
+  /// Empty while no companion is known.
   std::vector<ShareSource> SourcesOf(TeamHash aTeam, std::string_view aZone);
 
-  /// The companion that keeps the rate of an endpoint: the one on its host, if
-  /// there is one. Empty while no companion is known.
+  /// The companion that owns an endpoint's rate: the one on its host if there
+  /// is one, otherwise by rendezvous hashing. Empty while no companion is
+  /// known.
   std::optional<RateOwner> OwnerOfEndpoint(const std::string& aEndpointHost,
                                            LimitHash aEndpoint) const;
 
-  /// Leaves a share out for some time: a team that is over its limit would
-  /// otherwise cost questions for each of its requests.
-  void Exclude(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil);
+  /// Skips a share for some time; otherwise each request of a team that is over
+  /// its limit would cost messages to companions.
+  void Exclude(const ShareKey& aKey, ShareState aReason, TimePoint aUntil);
 
-  /// Whether a share is left out, and why.
+  /// Whether a share is skipped, and why.
   ShareState StateOf(const ShareKey& aKey, TimePoint aNow) const;
 
 private:
@@ -163,14 +169,14 @@
   std::vector<std::string> mHosts;
   std::map<std::string, std::string> mZoneByHost;
   std::unordered_map<TeamHash, std::array<std::size_t, kSharesPerLimit>>
-    mKeepers; ///< indices of mHosts; of the teams that were looked up
-  /// A share that is left out.
-  struct Closed
+    mOwners; ///< cached owners by team: indices into mHosts
+  /// A share that is skipped.
+  struct Excluded
   {
-    ShareState mWhy = ShareState::kOpen;
+    ShareState mReason = ShareState::kOpen;
     TimePoint mUntil;
   };
-  std::map<ShareKey, Closed> mClosed;
+  std::map<ShareKey, Excluded> mExcluded;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/list_freshness.h
+++ b/packages/state/include/shuntjunction/state/list_freshness.h
@@ -6,43 +6,45 @@
 
 #include "shuntjunction/state/freshness.h"
 
-/// How current a followed list is.
+/// Tracks how current a watched list is.
 namespace shuntjunction::state {
 
-/// Whether a list that a watch follows is in line with its store.
+/// Whether a watched list is consistent with its store.
 ///
-/// The store counts all its changes in one revision, and each of its answers
-/// tells it. An answer about other objects therefore says that the list is as
-/// it was, or that something changed of which the list's own watch has not
-/// told yet.
-/// Thread safety: one thread takes answers; all else may be called from any.
+/// The store numbers all its changes with a single revision and includes that
+/// revision in every response. A response about other objects therefore shows
+/// either that the list is unchanged, or that something changed that the list's
+/// own watch has not yet delivered.
+/// Thread safety: one thread records responses; all other methods may be called
+/// from any thread.
 class ListFreshness
 {
 public:
-  /// Takes an answer about the list: it is known up to a revision.
+  /// Records a response about the list, which is now known up to aRevision.
   void NoteListRevision(std::uint64_t aRevision, TimePoint aAskedAt);
 
-  /// Takes a change of other objects: at its revision the list did not change.
+  /// Records a change of other objects: the list did not change at its
+  /// revision.
   void NoteOtherRevision(std::uint64_t aRevision);
 
-  /// Takes the store's revision from an answer about any objects.
+  /// Records the store's revision from a response about any objects.
   void NoteStoreRevision(std::uint64_t aRevision, TimePoint aAskedAt);
 
-  /// Whether the store has changes that the list has not been told of; they
-  /// need not be the list's.
+  /// Whether the store has changes that the list has not received; they may
+  /// concern other objects.
   bool IsBehind() const { return mKnown < mStore; }
 
   /// Revision up to which the list is known.
   std::uint64_t Known() const { return mKnown; }
 
-  /// Revision that the store is known to have reached.
+  /// Highest known revision of the store.
   std::uint64_t Store() const { return mStore; }
 
-  /// Time since the question whose answer confirmed the list last; very long
-  /// when none did.
+  /// Time since the request whose response last confirmed the list;
+  /// Millis::max() if there was none.
   Millis Age(TimePoint aNow) const { return mConfirmed.Age(aNow); }
 
-  /// Whether it was confirmed at all.
+  /// Whether the list was ever confirmed.
   bool IsKnown() const { return mConfirmed.IsKnown(); }
 
 private:
@@ -50,7 +52,7 @@
 
   std::atomic<std::uint64_t> mKnown{ 0 };
   std::atomic<std::uint64_t> mStore{ 0 };
-  std::set<std::uint64_t> mOthers; ///< revisions above mKnown, of other objects
+  std::set<std::uint64_t> mOthers; ///< above mKnown, of other objects
   Freshness mConfirmed;
 };
 
--- a/packages/state/include/shuntjunction/state/retry_after.h
+++ b/packages/state/include/shuntjunction/state/retry_after.h
@@ -6,16 +6,16 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/enum_names.h"
 
-/// The time for which an endpoint that refuses asks to be sent nothing.
+/// Parses the Retry-After field of a refusal.
 namespace shuntjunction::state {
 
-/// How a Retry-After field is given.
+/// Format of a Retry-After field.
 enum class RetryAfterForm : std::uint8_t
 {
   kAbsent,
-  kDelay,      ///< seconds from the answer on
+  kDelay,      ///< seconds from the response on
   kDate,       ///< a point in time
-  kUnreadable, ///< neither; it is ignored
+  kUnreadable, ///< neither; ignored
 };
 
 /// Names of RetryAfterForm.
@@ -28,24 +28,24 @@
 {
   RetryAfterForm mForm = RetryAfterForm::kAbsent;
   Millis mDelay{ 0 };           ///< of kDelay
-  std::int64_t mWallMillis = 0; ///< of kDate: milliseconds since the Unix epoch
+  std::int64_t mWallMillis = 0; ///< of kDate: ms since the Unix epoch
 
-  /// Time from now on; zero when none is asked for, or a date has passed.
+  /// Remaining delay; zero if none is requested or the date has passed.
   ///
-  /// @param aWallMillis  now, since the Unix epoch
+  /// @param aWallMillis  current time since the Unix epoch
   Millis From(std::int64_t aWallMillis) const;
 };
 
-/// Reads whole or decimal seconds, or an HTTP date in its preferred form.
+/// Parses integer or decimal seconds, or an HTTP date in the preferred format.
 ///
-/// Unreadable are an empty text, a negative number, one that is not finite, and
-/// any other form of a date. A delay is cut at kLongestRetryAfter.
+/// Empty text, negative and non-finite numbers, and other date formats are
+/// unreadable. A delay is capped at kLongestRetryAfter.
 /// Thread safety: pure.
 RetryAfter
 ReadRetryAfter(std::string_view aText);
 
-/// A longer time is taken for this one: the next answer renews it, and one
-/// mistaken field must not take an endpoint out of service for good.
+/// Upper bound of a delay: the next response renews it, and a single wrong
+/// field must not take an endpoint out of service forever.
 inline constexpr Millis kLongestRetryAfter{ std::chrono::hours(1) };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/retry_budget.h
+++ b/packages/state/include/shuntjunction/state/retry_budget.h
@@ -2,18 +2,18 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Keeps retries from multiplying the load of a failure.
+/// Keeps retries from amplifying load during a failure.
 namespace shuntjunction::state {
 
 /// Settings of a RetryBudget.
 struct RetryBudgetSettings
 {
-  double mRatio = 0.2;       ///< retries earned by each first attempt
+  double mRatio = 0.2;       ///< retries earned per first attempt
   double mMinPerSecond = 1.; ///< retries earned by time alone
-  double mMax = 50.;         ///< retries that can be saved up
+  double mMax = 50.;         ///< maximum saved retries
 };
 
-/// Allows retries as a share of first attempts.
+/// Allows a number of retries in proportion to first attempts.
 ///
 /// Thread safety: none; owned by one thread.
 class RetryBudget
@@ -26,14 +26,14 @@
   {
   }
 
-  /// Counts a first attempt.
+  /// Records a first attempt.
   void Earn(TimePoint aNow)
   {
     Refill(aNow);
     mSaved = std::min(mSettings.mMax, mSaved + mSettings.mRatio);
   }
 
-  /// Takes one retry; false when the budget is spent.
+  /// Takes one retry; returns false if the budget is exhausted.
   bool Spend(TimePoint aNow)
   {
     Refill(aNow);
--- a/packages/state/include/shuntjunction/state/retry_schedule.h
+++ b/packages/state/include/shuntjunction/state/retry_schedule.h
@@ -4,30 +4,31 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// When callers that were refused for want of a rate may come back.
+/// When callers refused because of a rate limit should retry.
 namespace shuntjunction::state {
 
-/// Spreads returns so that all of them together find the rate that there is.
+/// Spaces retries so that all of them together match the available rate.
 ///
-/// A time that each caller is told by itself brings all of them at once, to be
-/// refused again.
+/// If each caller got its retry time independently, all would come back at once
+/// and be refused again.
 ///
 /// Thread safety: none.
 class RetrySchedule
 {
 public:
-  /// Takes the next free time.
+  /// Reserves the next free retry time; returns the delay until then.
   ///
-  /// @param aPerSecond  requests that may be sent, of all relays; above zero
-  /// @param aRelays  that refuse alike; at least one
+  /// @param aPerSecond  requests per second allowed across all relays; above
+  /// zero
+  /// @param aRelays  number of relays that refuse requests; at least one
   Millis Next(double aPerSecond, double aRelays, TimePoint aNow)
   {
     constexpr double kMillisPerSecond = 1000.0;
-    const double step = aRelays / aPerSecond * kMillisPerSecond;
-    const Millis pause(
-      static_cast<std::int64_t>(std::min<double>(step, kLatest.count())));
+    const double intervalMillis = aRelays / aPerSecond * kMillisPerSecond;
+    const Millis interval(static_cast<std::int64_t>(
+      std::min<double>(intervalMillis, kLatest.count())));
     const auto at = std::clamp(mNext, aNow + kEarliest, aNow + kLatest);
-    mNext = at + pause;
+    mNext = at + interval;
     return std::chrono::duration_cast<Millis>(at - aNow);
   }
 
--- a/packages/state/include/shuntjunction/state/team_limiter.h
+++ b/packages/state/include/shuntjunction/state/team_limiter.h
@@ -6,22 +6,23 @@
 
 #include "shuntjunction/state/usage_limit.h"
 
-/// Limits on the rate of each team's requests, without a message.
+/// Rate limits of teams without coordination messages.
 namespace shuntjunction::state {
 
-/// Keeps this router's fixed part of each team's limit.
+/// Enforces this router's fixed fraction of each team's limit.
 ///
-/// A router knows how many routers there are and takes that part, so that a
-/// limit holds over all of them without a message. Callers that meet few of the
-/// routers get less than their team's limit; limit_shares.h is for those.
+/// A router knows the number of routers and takes an equal fraction, so the
+/// limit holds across all routers without messages. A team whose callers reach
+/// only some of the routers gets less than its limit; limit_shares.h handles
+/// that case.
 /// Thread safety: none; owned by one thread.
 class TeamLimiter
 {
 public:
   /// Takes one request of a team.
   ///
-  /// @param aRouters  routers that share the limit, at least 1
-  /// @return zero when the request may go on, or the time to come back after
+  /// @param aRouters  number of routers that share the limit, at least 1
+  /// @return zero if the request is admitted, otherwise the time to retry after
   Millis Take(std::string_view aTeam,
               const UsageLimit& aLimit,
               std::size_t aRouters,
--- a/packages/state/include/shuntjunction/state/usage_limit.h
+++ b/packages/state/include/shuntjunction/state/usage_limit.h
@@ -7,39 +7,40 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/enum_names.h"
 
-/// Limits on what a team may use, and the bucket that keeps one.
+/// Usage limits of teams, and the token bucket that enforces one.
 namespace shuntjunction::state {
 
-/// What a limit counts.
+/// The unit of a limit.
 enum class UsageUnit : std::uint8_t
 {
   kRequests,
-  kTokens, ///< of the prompt, and the most that may be generated
+  kTokens, ///< of the prompt, plus the most that may be generated
 };
 
 /// Names of UsageUnit.
 inline constexpr EnumNames<UsageUnit, 2> kUsageUnitNames{ { "requests",
                                                             "tokens" } };
 
-/// A limit over all entries of the system; zero a second is no limit.
+/// A limit across all entry points of the system; a rate of zero means no
+/// limit.
 struct UsageLimit
 {
   double mPerSecond = 0;
-  double mBurst = 0; ///< above the rate, that may come at once
+  double mBurst = 0; ///< above the rate, may be used at once
 
   bool IsLimited() const { return mPerSecond > 0; }
 
   bool operator==(const UsageLimit&) const = default;
 };
 
-/// Gives out a limit so that no time of any length sees more than its rate
-/// allows and one burst.
+/// A token bucket: usage over any period is at most the rate times the period
+/// plus one burst.
 ///
 /// Thread safety: none.
 class UsageBucket
 {
 public:
-  /// @param aFilled  what may be used at once; at most the burst
+  /// @param aFilled  initially available amount; at most the burst
   UsageBucket(const UsageLimit& aLimit, double aFilled, TimePoint aNow)
     : mLimit(aLimit)
     , mLeft(std::min(aFilled, aLimit.mBurst))
@@ -47,8 +48,8 @@
   {
   }
 
-  /// Changes the limit. What was not yet given stays, within the new burst: a
-  /// raise is no second burst.
+  /// Changes the limit. The available amount is kept, capped at the new burst;
+  /// raising a limit does not grant a second burst.
   void SetLimit(const UsageLimit& aLimit, TimePoint aNow)
   {
     Fill(aNow);
@@ -58,14 +59,14 @@
 
   const UsageLimit& Limit() const { return mLimit; }
 
-  /// What may be used now.
+  /// Amount available now.
   double Left(TimePoint aNow)
   {
     Fill(aNow);
     return mLeft;
   }
 
-  /// Takes as much of an amount as there is; returns what was taken.
+  /// Takes up to an amount, as far as available; returns what was taken.
   double TakeUpTo(double aAmount, TimePoint aNow)
   {
     Fill(aNow);
@@ -74,14 +75,14 @@
     return taken;
   }
 
-  /// Takes back what was taken and not used.
+  /// Returns an amount that was taken and not used.
   void GiveBack(double aAmount)
   {
     mLeft = std::min(mLeft + std::max(0.0, aAmount), mLimit.mBurst);
   }
 
-  /// How long until an amount is there; one above the burst never is, and is
-  /// told as if it were the burst.
+  /// Time until an amount is available; for an amount above the burst, which
+  /// never is, the time until the bucket is full.
   Millis TimeUntil(double aAmount, TimePoint aNow)
   {
     Fill(aNow);
--- a/packages/state/include/shuntjunction/state/window_budget.h
+++ b/packages/state/include/shuntjunction/state/window_budget.h
@@ -5,38 +5,39 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Repeats of requests, bounded over a sliding window and all processes.
+/// Limits repeats of requests over a sliding window, across processes.
 namespace shuntjunction::state {
 
 /// Settings of a WindowBudget.
 struct WindowBudgetSettings
 {
-  double mRatio = 0.2;     ///< repeats allowed for each first request
-  double mSlack = 0.0;     ///< repeats allowed beside these, in a window
-  Millis mWindow{ 10000 }; ///< over which both are counted
+  double mRatio = 0.2;     ///< repeats allowed per first request
+  double mSlack = 0.0;     ///< additional repeats allowed per window
+  Millis mWindow{ 10000 }; ///< length of the window for both
 };
 
-/// Allows repeats so that no window of its length holds too many.
+/// Allows repeats so that no window of the given length contains too many.
 ///
-/// Counts are kept in slices of a window; a slice counts as inside as long as
-/// any part of it is, and a first request only while its whole slice is.
-/// Several processes keep a common bound when each has its share of the slack.
+/// Counts are kept in slices of the window. A repeat counts as long as any part
+/// of its slice is in the window, a first request only while its whole slice
+/// is. Several processes keep a common limit if each gets its fraction of the
+/// slack.
 /// Thread safety: none; owned by one thread.
 class WindowBudget
 {
 public:
   WindowBudget(const WindowBudgetSettings& aSettings, TimePoint aNow);
 
-  /// Sets the repeats allowed beside the ratio; counts stay.
+  /// Sets the additional repeats per window; counts are kept.
   void SetSlack(double aSlack) { mSettings.mSlack = aSlack; }
 
-  /// Counts a first request.
+  /// Records a first request.
   void NoteFirst(TimePoint aNow);
 
   /// Whether a repeat is allowed.
   bool MayRepeat(TimePoint aNow) const;
 
-  /// Counts a repeat if it is allowed; false when it is not.
+  /// Records a repeat if it is allowed; returns whether it is.
   bool TryRepeat(TimePoint aNow);
 
 private:
@@ -44,12 +45,12 @@
 
   struct Slice
   {
-    std::int64_t mNumber = -1; ///< slices since the start
+    std::int64_t mNumber = -1; ///< slices since the start; -1: unused
     std::uint32_t mFirsts = 0;
     std::uint32_t mRepeats = 0;
   };
 
-  std::int64_t NumberOf(TimePoint aNow) const;
+  std::int64_t SliceNumberAt(TimePoint aNow) const;
   Slice& SliceOf(std::int64_t aNumber);
 
   WindowBudgetSettings mSettings;
--- a/packages/state/src/crash_tracker.cpp
+++ b/packages/state/src/crash_tracker.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Share of a full ledger that is dropped at once, so that a flood of suspects
-/// costs one look at all of them a thousand times more seldom.
-constexpr std::size_t kDropDivisor = 8;
+/// Fraction of a full tracker that is evicted at once, so that a flood of
+/// suspects requires a scan of all of them a thousand times less often.
+constexpr std::size_t kEvictionDivisor = 8;
 
 } // namespace
 
@@ -31,8 +31,8 @@
   record.mLatest = std::max(record.mLatest, aAt);
   const auto most = static_cast<std::size_t>(mSettings.mQuarantineThreshold);
   if (record.mCrashes.size() >= most) {
-    record.mRefusedUntil =
-      std::max(record.mRefusedUntil, aAt + mSettings.mQuarantine);
+    record.mQuarantinedUntil =
+      std::max(record.mQuarantinedUntil, aAt + mSettings.mQuarantine);
   }
   if (record.mCrashes.size() > most) {
     record.mCrashes.erase(record.mCrashes.begin());
@@ -58,13 +58,14 @@
 bool
 CrashTracker::Quarantine(const RequestDigest& aRequest,
                          TimePoint aNow,
-                         Millis aFor)
+                         Millis aDuration)
 {
   const bool isNew = QuarantineLeft(aRequest, aNow) == Millis(0);
   auto& record = RecordOf(aRequest, aNow);
   record.mLatest = std::max(record.mLatest, aNow);
-  record.mRefusedUntil = std::max(record.mRefusedUntil,
-                                  aNow + std::min(aFor, mSettings.mQuarantine));
+  record.mQuarantinedUntil =
+    std::max(record.mQuarantinedUntil,
+             aNow + std::min(aDuration, mSettings.mQuarantine));
   return isNew;
 }
 
@@ -82,10 +83,10 @@
                              TimePoint aNow) const
 {
   const auto found = mRequests.find(aRequest);
-  if (found == mRequests.end() || found->second.mRefusedUntil <= aNow) {
+  if (found == mRequests.end() || found->second.mQuarantinedUntil <= aNow) {
     return Millis(0);
   }
-  return std::chrono::ceil<Millis>(found->second.mRefusedUntil - aNow);
+  return std::chrono::ceil<Millis>(found->second.mQuarantinedUntil - aNow);
 }
 
 std::vector<AgedCrashReport>
@@ -120,16 +121,16 @@
 {
   return static_cast<std::size_t>(
     std::count_if(mRequests.begin(), mRequests.end(), [&](const auto& aItem) {
-      return aItem.second.mRefusedUntil > aNow;
+      return aItem.second.mQuarantinedUntil > aNow;
     }));
 }
 
 bool
 CrashTracker::IsForgotten(const Record& aRecord, TimePoint aNow) const
 {
-  // One that was quarantined is on probation as long again: a single crash
-  // brings it back.
-  const auto since = std::max(aRecord.mLatest, aRecord.mRefusedUntil);
+  // A request that was quarantined stays on probation for as long again: a
+  // single crash quarantines it again.
+  const auto since = std::max(aRecord.mLatest, aRecord.mQuarantinedUntil);
   return aNow - since >= mSettings.mSuspicionPeriod;
 }
 
@@ -144,26 +145,28 @@
     return found->second;
   }
   if (mRequests.size() >= mSettings.mMaxRequests) {
-    DropLeast(aNow);
+    EvictLowestRanked(aNow);
   }
   return mRequests[aRequest];
 }
 
 void
-CrashTracker::DropLeast(TimePoint aNow)
+CrashTracker::EvictLowestRanked(TimePoint aNow)
 {
-  // Whoever has many requests crash beside others shall not be able to push
-  // out one that is quarantined.
+  // A caller with many requests that run alongside crashes must not be able to
+  // evict a quarantined one.
   const auto rankOf = [&](const Record& aRecord) {
-    return std::tuple(
-      aRecord.mRefusedUntil > aNow, aRecord.mCrashes.size(), aRecord.mLatest);
+    return std::tuple(aRecord.mQuarantinedUntil > aNow,
+                      aRecord.mCrashes.size(),
+                      aRecord.mLatest);
   };
   using Entry = std::map<RequestDigest, Record>::iterator;
   std::vector<Entry> entries;
   for (auto entry = mRequests.begin(); entry != mRequests.end(); ++entry) {
     entries.push_back(entry);
   }
-  const auto count = std::max<std::size_t>(entries.size() / kDropDivisor, 1);
+  const auto count =
+    std::max<std::size_t>(entries.size() / kEvictionDivisor, 1);
   const auto end = entries.begin() + static_cast<std::ptrdiff_t>(count);
   std::nth_element(
     entries.begin(), end - 1, entries.end(), [&](Entry aOne, Entry aTwo) {
--- a/packages/state/src/endpoint_availability.cpp
+++ b/packages/state/src/endpoint_availability.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Endpoints that are remembered after their removal, the latest ones.
+/// Maximum number of endpoints that are kept after removal, the latest ones.
 constexpr std::size_t kMaxRemoved = 1024;
 
 } // namespace
@@ -37,7 +37,7 @@
     mCooldownUntil = std::max(mCooldownUntil, aNow + change.mCooldown);
     ++mRecovery;
     mTrialsAllowed = mSettings.mFirstTrials;
-    mTrialsUnderWay = 0;
+    mTrialsInFlight = 0;
   }
   return change;
 }
@@ -73,7 +73,7 @@
   if (aNow < CooldownEnd()) {
     return Obstacle::kCooldown;
   }
-  if (IsRecovering(aNow) && mTrialsUnderWay >= mTrialsAllowed) {
+  if (IsRecovering(aNow) && mTrialsInFlight >= mTrialsAllowed) {
     return Obstacle::kRecovering;
   }
   if (aPermit.mIsNeeded && !aPermit.mIsHeld && aNow < aPermit.mEarliestAt) {
@@ -98,18 +98,18 @@
   if (!IsRecovering(aNow)) {
     return SendClearance(0);
   }
-  ++mTrialsUnderWay;
+  ++mTrialsInFlight;
   return SendClearance(mRecovery);
 }
 
 void
 EndpointAvailability::Settle(SendClearance aClearance, bool aIsAccepted)
 {
-  // Requests sent before the latest cooldown are no evidence of its end.
+  // Requests sent before the latest cooldown do not show that it has ended.
   if (aClearance.mRecovery != mRecovery || mTrialsAllowed == 0) {
     return;
   }
-  --mTrialsUnderWay;
+  --mTrialsInFlight;
   if (!aIsAccepted) {
     return;
   }
@@ -126,42 +126,47 @@
 }
 
 AvailabilityRegistry::Ptr
-AvailabilityRegistry::Find(const std::string& aId, EndpointIncarnation aLife)
+AvailabilityRegistry::Find(const std::string& aId,
+                           EndpointIncarnation aIncarnation)
 {
   const auto found = mById.find(aId);
   if (found == mById.end()) {
-    return Begin(aId, aLife);
+    return Begin(aId, aIncarnation);
   }
   auto& entry = found->second;
-  // An earlier start is most often that of a list that comes late.
+  // An earlier start usually comes from a delayed list.
   if (entry.mEndpointIncarnation.IsKnown() &&
-      entry.mEndpointIncarnation < aLife) {
-    return Begin(aId, aLife);
+      entry.mEndpointIncarnation < aIncarnation) {
+    return Begin(aId, aIncarnation);
   }
-  entry.mEndpointIncarnation = std::max(entry.mEndpointIncarnation, aLife);
-  if (entry.mRemovedAs != 0) {
-    entry.mRemovedAs = 0;
+  entry.mEndpointIncarnation =
+    std::max(entry.mEndpointIncarnation, aIncarnation);
+  if (entry.mRemovalOrder != 0) {
+    entry.mRemovalOrder = 0;
     --mRemoved;
   }
   return entry.mAvailability;
 }
 
 AvailabilityRegistry::Ptr
-AvailabilityRegistry::Begin(const std::string& aId, EndpointIncarnation aLife)
+AvailabilityRegistry::Begin(const std::string& aId,
+                            EndpointIncarnation aIncarnation)
 {
   auto& entry = mById[aId];
-  // A list that came late may have hidden the incarnation in between.
-  if (entry.mAvailability && aLife.IsKnown() &&
-      entry.mEndpointIncarnation == aLife) {
-    return Find(aId, aLife);
+  // A delayed list may have made an earlier incarnation current in between.
+  if (entry.mAvailability && aIncarnation.IsKnown() &&
+      entry.mEndpointIncarnation == aIncarnation) {
+    return Find(aId, aIncarnation);
   }
   if (entry.mAvailability) {
     entry.mAvailability->SetListing(false, false);
   }
-  if (entry.mRemovedAs != 0) {
+  if (entry.mRemovalOrder != 0) {
     --mRemoved;
   }
-  entry = { std::make_shared<EndpointAvailability>(mSettings), aLife, 0 };
+  entry = { std::make_shared<EndpointAvailability>(mSettings),
+            aIncarnation,
+            0 };
   return entry.mAvailability;
 }
 
@@ -169,24 +174,25 @@
 AvailabilityRegistry::NoteRemoved(std::string_view aId)
 {
   const auto found = mById.find(aId);
-  if (found == mById.end() || found->second.mRemovedAs != 0) {
+  if (found == mById.end() || found->second.mRemovalOrder != 0) {
     return;
   }
   found->second.mAvailability->SetListing(false, false);
-  found->second.mRemovedAs = ++mRemovals;
+  found->second.mRemovalOrder = ++mRemovals;
   if (++mRemoved > kMaxRemoved) {
-    DropOldest();
+    EvictOldest();
   }
 }
 
 void
-AvailabilityRegistry::DropOldest()
+AvailabilityRegistry::EvictOldest()
 {
   auto oldest = mById.end();
   for (auto at = mById.begin(); at != mById.end(); ++at) {
-    const bool isRemoved = at->second.mRemovedAs != 0;
-    if (isRemoved && (oldest == mById.end() ||
-                      at->second.mRemovedAs < oldest->second.mRemovedAs)) {
+    const bool isRemoved = at->second.mRemovalOrder != 0;
+    if (isRemoved &&
+        (oldest == mById.end() ||
+         at->second.mRemovalOrder < oldest->second.mRemovalOrder)) {
       oldest = at;
     }
   }
--- a/packages/state/src/endpoint_directory.cpp
+++ b/packages/state/src/endpoint_directory.cpp
@@ -10,11 +10,11 @@
 EndpointDirectory::MergeList(const std::vector<EndpointInfo>& aListed,
                              TimePoint aNow)
 {
-  bool isNews = false;
+  bool isChanged = false;
   std::set<std::string_view> listed;
   for (const auto& endpoint : aListed) {
     listed.insert(endpoint.mId);
-    isNews = Put(endpoint, aNow) || isNews;
+    isChanged = Put(endpoint, aNow) || isChanged;
   }
   std::vector<std::string> missing;
   for (const auto& [id, entry] : mEntries) {
@@ -23,40 +23,40 @@
     }
   }
   for (const auto& id : missing) {
-    isNews = Remove(id, aNow) || isNews;
+    isChanged = Remove(id, aNow) || isChanged;
   }
-  return isNews;
+  return isChanged;
 }
 
 bool
 EndpointDirectory::Put(const EndpointInfo& aEndpoint, TimePoint aNow)
 {
   auto& entry = mEntries[aEndpoint.mId];
-  const auto word =
+  const auto update =
     entry.mEndpointIncarnation.Take(aEndpoint.mEndpointIncarnation, aNow);
-  if (word == IncarnationUpdate::kFormer) {
+  if (update == IncarnationUpdate::kFormer) {
     return PutFormer(entry, aEndpoint);
   }
   const bool isFirst =
-    entry.mFirstRevision == 0 || word == IncarnationUpdate::kNewer;
-  const bool isNews =
-    entry.mIsLapsed || entry.mInfo.mRevision != aEndpoint.mRevision;
+    entry.mFirstRevision == 0 || update == IncarnationUpdate::kNewer;
+  const bool isChanged =
+    entry.mIsExpired || entry.mInfo.mRevision != aEndpoint.mRevision;
   entry.mInfo = aEndpoint;
-  entry.mFormer.reset();
+  entry.mFormerEntry.reset();
   entry.mFirstRevision = isFirst ? aEndpoint.mRevision : entry.mFirstRevision;
-  entry.mIsLapsed = false;
-  return isNews;
+  entry.mIsExpired = false;
+  return isChanged;
 }
 
 bool
 EndpointDirectory::PutFormer(Entry& aEntry, const EndpointInfo& aEndpoint)
 {
-  const bool isSeen =
-    aEntry.mFormer && aEntry.mFormer->mRevision == aEndpoint.mRevision;
+  const bool isSeen = aEntry.mFormerEntry &&
+                      aEntry.mFormerEntry->mRevision == aEndpoint.mRevision;
   if (!isSeen) {
     ++mStaleReports;
   }
-  aEntry.mFormer = aEndpoint;
+  aEntry.mFormerEntry = aEndpoint;
   if (!aEndpoint.mIsLeaving || aEntry.mInfo.mIsLeaving) {
     return false;
   }
@@ -79,14 +79,14 @@
 EndpointDirectory::Remove(std::string_view aId, TimePoint aNow)
 {
   const auto found = mEntries.find(aId);
-  if (found == mEntries.end() || found->second.mIsLapsed) {
+  if (found == mEntries.end() || found->second.mIsExpired) {
     return false;
   }
-  if (found->second.mInfo.mIsLeaving || !IsInGrace(aNow)) {
+  if (found->second.mInfo.mIsLeaving || !IsInGracePeriod(aNow)) {
     mEntries.erase(found);
   } else {
-    found->second.mIsLapsed = true;
-    found->second.mGoesAt = mLastOutage + kExpiredEntryGrace;
+    found->second.mIsExpired = true;
+    found->second.mRemoveAt = mLastOutage + kExpiredEntryGrace;
   }
   return true;
 }
@@ -94,13 +94,14 @@
 void
 EndpointDirectory::NoteOutage(TimePoint aNow)
 {
-  const auto silence = std::max(aNow - mLastWord, TimePoint::duration::zero());
+  const auto silence =
+    std::max(aNow - mLastContact, TimePoint::duration::zero());
   mHadOutage = true;
   mLastOutage = std::max(mLastOutage, aNow);
-  mLastWord = std::max(mLastWord, aNow);
+  mLastContact = std::max(mLastContact, aNow);
   for (auto& [id, entry] : mEntries) {
-    if (entry.mIsLapsed) {
-      entry.mGoesAt += silence;
+    if (entry.mIsExpired) {
+      entry.mRemoveAt += silence;
     }
   }
 }
@@ -108,11 +109,11 @@
 void
 EndpointDirectory::NoteAnswer(TimePoint aNow)
 {
-  mLastWord = aNow;
+  mLastContact = aNow;
 }
 
 bool
-EndpointDirectory::IsInGrace(TimePoint aNow) const
+EndpointDirectory::IsInGracePeriod(TimePoint aNow) const
 {
   return mHadOutage && aNow < mLastOutage + kExpiredEntryGrace;
 }
@@ -120,17 +121,18 @@
 bool
 EndpointDirectory::Expire(TimePoint aNow)
 {
-  bool isNews = std::erase_if(mEntries, [&](const auto& aItem) {
-                  return aItem.second.mIsLapsed && aNow >= aItem.second.mGoesAt;
-                }) > 0;
+  bool isChanged =
+    std::erase_if(mEntries, [&](const auto& aItem) {
+      return aItem.second.mIsExpired && aNow >= aItem.second.mRemoveAt;
+    }) > 0;
   for (auto& [id, entry] : mEntries) {
-    if (entry.mFormer && entry.mEndpointIncarnation.PromoteEarlier(aNow)) {
-      entry.mInfo = *std::exchange(entry.mFormer, std::nullopt);
+    if (entry.mFormerEntry && entry.mEndpointIncarnation.PromoteEarlier(aNow)) {
+      entry.mInfo = *std::exchange(entry.mFormerEntry, std::nullopt);
       entry.mFirstRevision = entry.mInfo.mRevision;
-      isNews = true;
+      isChanged = true;
     }
   }
-  return isNews;
+  return isChanged;
 }
 
 std::vector<EndpointInfo>
--- a/packages/state/src/endpoint_health.cpp
+++ b/packages/state/src/endpoint_health.cpp
@@ -60,7 +60,7 @@
         std::min(aFsm.mEjection * 2, aFsm.mSettings.mMaxEjection);
     }
   };
-  struct Forgive
+  struct Reset
   {
     template<typename Event, typename Fsm, typename From, typename To>
     void operator()(const Event&, Fsm& aFsm, From&, To&)
@@ -71,7 +71,7 @@
   };
 
   // Guards.
-  struct IsLast
+  struct IsAtThreshold
   {
     template<typename Event, typename Fsm, typename From, typename To>
     bool operator()(const Event&, Fsm& aFsm, From&, To&)
@@ -92,13 +92,13 @@
   struct transition_table : boost::mpl::vector<
     //  from     event           to       action   guard
     Row<Healthy, FailedEvent,    Suspect, Count,   none>,
-    Row<Healthy, FailedEvent,    Ejected, Eject,   IsLast>,
+    Row<Healthy, FailedEvent,    Ejected, Eject,   IsAtThreshold>,
     Row<Suspect, FailedEvent,    Suspect, Count,   none>,
-    Row<Suspect, FailedEvent,    Ejected, Eject,   IsLast>,
-    Row<Suspect, SucceededEvent, Healthy, Forgive, none>,
+    Row<Suspect, FailedEvent,    Ejected, Eject,   IsAtThreshold>,
+    Row<Suspect, SucceededEvent, Healthy, Reset,   none>,
     Row<Ejected, DueEvent,       Trial,   none,    IsDue>,
-    Row<Ejected, SucceededEvent, Healthy, Forgive, none>,
-    Row<Trial,   SucceededEvent, Healthy, Forgive, none>,
+    Row<Ejected, SucceededEvent, Healthy, Reset,   none>,
+    Row<Trial,   SucceededEvent, Healthy, Reset,   none>,
     Row<Trial,   FailedEvent,    Ejected, Eject,   none>
   > {};
   // clang-format on
--- a/packages/state/src/endpoint_incarnation.cpp
+++ b/packages/state/src/endpoint_incarnation.cpp
@@ -3,21 +3,21 @@
 namespace shuntjunction::state {
 
 IncarnationUpdate
-IncarnationTracker::Take(EndpointIncarnation aTold, TimePoint aNow)
+IncarnationTracker::Take(EndpointIncarnation aReported, TimePoint aNow)
 {
-  if (!aTold.IsKnown()) {
+  if (!aReported.IsKnown()) {
     return IncarnationUpdate::kSame;
   }
-  if (!mCurrent.IsKnown() || aTold == mCurrent) {
-    Believe(aTold);
+  if (!mCurrent.IsKnown() || aReported == mCurrent) {
+    Adopt(aReported);
     return IncarnationUpdate::kSame;
   }
-  if (aTold > mCurrent) {
-    Believe(aTold);
+  if (aReported > mCurrent) {
+    Adopt(aReported);
     return IncarnationUpdate::kNewer;
   }
-  if (aTold != mEarlier) {
-    mEarlier = aTold;
+  if (aReported != mEarlier) {
+    mEarlier = aReported;
     mEarlierSince = aNow;
   }
   return PromoteEarlier(aNow) ? IncarnationUpdate::kNewer
@@ -25,13 +25,13 @@
 }
 
 IncarnationUpdate
-IncarnationTracker::TakeSelfReport(EndpointIncarnation aTold)
+IncarnationTracker::TakeSelfReport(EndpointIncarnation aReported)
 {
-  if (!aTold.IsKnown()) {
+  if (!aReported.IsKnown()) {
     return IncarnationUpdate::kSame;
   }
-  const bool isOther = mCurrent.IsKnown() && aTold != mCurrent;
-  Believe(aTold);
+  const bool isOther = mCurrent.IsKnown() && aReported != mCurrent;
+  Adopt(aReported);
   return isOther ? IncarnationUpdate::kNewer : IncarnationUpdate::kSame;
 }
 
@@ -41,14 +41,14 @@
   if (!mEarlier.IsKnown() || aNow - mEarlierSince < kFormerIncarnationGrace) {
     return false;
   }
-  Believe(mEarlier);
+  Adopt(mEarlier);
   return true;
 }
 
 void
-IncarnationTracker::Believe(EndpointIncarnation aLife)
+IncarnationTracker::Adopt(EndpointIncarnation aIncarnation)
 {
-  mCurrent = aLife;
+  mCurrent = aIncarnation;
   mEarlier = {};
 }
 
--- a/packages/state/src/endpoint_limits.cpp
+++ b/packages/state/src/endpoint_limits.cpp
@@ -8,18 +8,19 @@
 namespace shuntjunction::state {
 
 LimitHash
-HashOfIncarnation(std::string_view aEndpointId, EndpointIncarnation aLife)
+HashOfIncarnation(std::string_view aEndpointId,
+                  EndpointIncarnation aIncarnation)
 {
   return PlacementHash(aEndpointId,
-                       static_cast<std::uint64_t>(aLife.StartedAt()));
+                       static_cast<std::uint64_t>(aIncarnation.StartedAt()));
 }
 
 EndpointLimits::EndpointLimits(const EndpointLimitsSettings& aSettings,
-                               ShareOwnership& aListings,
-                               std::uint32_t aFirstEdition)
+                               ShareOwnership& aOwnership,
+                               std::uint32_t aFirstVersion)
   : mSettings(aSettings)
-  , mOwnership(aListings)
-  , mRateVersion(aFirstEdition)
+  , mOwnership(aOwnership)
+  , mRateVersion(aFirstVersion)
 {
 }
 
@@ -54,7 +55,7 @@
 EndpointLimits::Take(const PlaceAsk& aAsk, TimePoint aNow)
 {
   if (!IsOwner(aAsk.mEndpoint, aNow)) {
-    // Another keeps it, or may have until now.
+    // Another companion owns it, or may have owned it until now.
     return { false, 0, mSettings.mNotOwnerRetryDelay };
   }
   auto& limited = Find(aAsk.mEndpoint, aAsk.mPerSecond, aNow);
@@ -136,28 +137,28 @@
                      double aPerSecond,
                      TimePoint aNow)
 {
-  ForgetSilent(aNow);
+  EvictIdle(aNow);
   const auto limit = LimitOf(aPerSecond);
   const auto [found, isNew] = mLimited.try_emplace(
     aEndpoint.mHash,
     Limited{
       UsageBucket(limit, 0, aNow), mRateVersion, aPerSecond, false, aNow });
   found->second.mIsOnSameHost = aEndpoint.mIsOnSameHost;
-  found->second.mHeardAt = aNow;
+  found->second.mLastUsedAt = aNow;
   return found->second;
 }
 
 void
-EndpointLimits::ForgetSilent(TimePoint aNow)
+EndpointLimits::EvictIdle(TimePoint aNow)
 {
   if (mLimited.size() > mSettings.mMaxEndpoints) {
     mLimited.erase(std::min_element(
       mLimited.begin(), mLimited.end(), [](const auto& aOne, const auto& aTwo) {
-        return aOne.second.mHeardAt < aTwo.second.mHeardAt;
+        return aOne.second.mLastUsedAt < aTwo.second.mLastUsedAt;
       }));
   }
   std::erase_if(mLimited, [&](const auto& aItem) {
-    return aNow - aItem.second.mHeardAt >= mSettings.mForgetAfter;
+    return aNow - aItem.second.mLastUsedAt >= mSettings.mForgetAfter;
   });
 }
 
--- a/packages/state/src/endpoint_table.cpp
+++ b/packages/state/src/endpoint_table.cpp
@@ -63,12 +63,12 @@
       continue;
     }
     entry.mHealth.Tick(aNow);
-    const bool isOut = entry.mHealth.State() == HealthState::kEjected;
-    (isOut ? ejected : usable).push_back({ index });
+    const bool isEjected = entry.mHealth.State() == HealthState::kEjected;
+    (isEjected ? ejected : usable).push_back({ index });
   }
-  const auto all = static_cast<double>(usable.size() + ejected.size());
-  const auto most = all * mSettings.mMaxEjectedShare;
-  if (static_cast<double>(ejected.size()) > most) {
+  const auto total = static_cast<double>(usable.size() + ejected.size());
+  const auto maxEjected = total * mSettings.mMaxEjectedShare;
+  if (static_cast<double>(ejected.size()) > maxEjected) {
     usable.insert(usable.end(), ejected.begin(), ejected.end());
   }
   return usable;
@@ -77,9 +77,10 @@
 bool
 EndpointTable::IsLeaving(const EndpointEntry& aEntry, TimePoint aNow)
 {
-  const bool hasSaidSo = aEntry.mReportedLeavingAt != TimePoint() &&
-                         aNow < aEntry.mReportedLeavingAt + kReportedLeavingTtl;
-  return hasSaidSo || aEntry.mInstance.mIsLeaving;
+  const bool hasReportedLeaving =
+    aEntry.mReportedLeavingAt != TimePoint() &&
+    aNow < aEntry.mReportedLeavingAt + kReportedLeavingTtl;
+  return hasReportedLeaving || aEntry.mInstance.mIsLeaving;
 }
 
 bool
--- a/packages/state/src/limit_shares.cpp
+++ b/packages/state/src/limit_shares.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Teams whose keepers are remembered between two lists.
+/// Maximum number of teams whose share owners are cached between two lists.
 constexpr std::size_t kMaxTeams = 16384;
 
 } // namespace
@@ -33,7 +33,8 @@
   if (!mOwnership.SetHosts(std::move(aHosts), aNow)) {
     return false;
   }
-  // A share that comes back later starts anew: another gave of it meanwhile.
+  // A share that returns later starts with a new bucket, since another
+  // companion has granted from it meanwhile.
   std::erase_if(mBuckets, [&](const auto& aItem) {
     return !mOwnership.IsOwnerInNewest(aItem.first);
   });
@@ -43,14 +44,14 @@
 ShareGrant
 LimitShares::Take(const ShareAsk& aAsk, TimePoint aNow)
 {
-  const bool isSound = aAsk.mKey.mShare < kSharesPerLimit &&
+  const bool isValid = aAsk.mKey.mShare < kSharesPerLimit &&
                        aAsk.mLimit.IsLimited() && aAsk.mAmount <= kMaxUsage;
-  if (!isSound || !mOwnership.IsOwner(aAsk.mKey, aNow)) {
+  if (!isValid || !mOwnership.IsOwner(aAsk.mKey, aNow)) {
     return { 0, mSettings.mOwnership.mHandover };
   }
   auto& bucket = ShareOf(aAsk, aNow).mBucket;
   ShareGrant grant;
-  // Whole units: what is rounded off stays in the bucket.
+  // Grants whole units; the fraction stays in the bucket.
   const double whole = std::floor(std::max(0.0, bucket.Left(aNow)));
   const double wanted = std::min<double>(aAsk.mAmount, whole);
   grant.mAmount = static_cast<std::uint32_t>(bucket.TakeUpTo(wanted, aNow));
@@ -81,9 +82,10 @@
   const auto limit = LimitOfShare(aAsk.mLimit);
   auto found = mBuckets.find(aAsk.mKey);
   if (found == mBuckets.end()) {
-    ForgetFull(aNow);
-    // What a former life of this process, or another keeper, gave is not known:
-    // the bucket was empty when this one could first give.
+    EvictFull(aNow);
+    // Grants by an earlier process on this host or by another owner are
+    // unknown, so the bucket counts as empty at the time when this owner could
+    // first grant.
     const std::chrono::duration<double> kept =
       std::max(aNow - mOwnership.OwnedSince(), {});
     found =
@@ -95,7 +97,7 @@
         .first;
   }
   auto& share = found->second;
-  // A relay that is behind does not bring an older limit back.
+  // A relay with an older configuration does not restore an older limit.
   if (aAsk.mVersion >= share.mVersion && share.mBucket.Limit() != limit) {
     share.mBucket.SetLimit(limit, aNow);
   }
@@ -104,7 +106,7 @@
 }
 
 void
-LimitShares::ForgetFull(TimePoint aNow)
+LimitShares::EvictFull(TimePoint aNow)
 {
   if (mBuckets.size() < mSettings.mMaxBuckets) {
     return;
@@ -128,7 +130,7 @@
                  mZoneByHost.end(),
                  std::back_inserter(mHosts),
                  [](const auto& aItem) { return aItem.first; });
-  mKeepers.clear();
+  mOwners.clear();
 }
 
 std::vector<ShareSource>
@@ -137,10 +139,10 @@
   if (mHosts.empty()) {
     return {};
   }
-  if (mKeepers.size() > kMaxTeams) {
-    mKeepers.clear();
+  if (mOwners.size() > kMaxTeams) {
+    mOwners.clear();
   }
-  const auto [found, isNew] = mKeepers.try_emplace(aTeam);
+  const auto [found, isNew] = mOwners.try_emplace(aTeam);
   if (isNew) {
     for (std::uint8_t share = 0; share < kSharesPerLimit; ++share) {
       found->second[share] = OwnerOfShare(mHosts, { aTeam, share });
@@ -166,28 +168,31 @@
   if (mHosts.empty()) {
     return std::nullopt;
   }
-  const auto beside = mZoneByHost.find(aEndpointHost);
-  if (beside != mZoneByHost.end()) {
-    return RateOwner{ beside->first, true };
+  const auto sameHost = mZoneByHost.find(aEndpointHost);
+  if (sameHost != mZoneByHost.end()) {
+    return RateOwner{ sameHost->first, true };
   }
   return RateOwner{ mHosts[OwnerOfShare(mHosts, { aEndpoint, 0 })], false };
 }
 
 void
-ShareDirectory::Exclude(const ShareKey& aKey, ShareState aWhy, TimePoint aUntil)
+ShareDirectory::Exclude(const ShareKey& aKey,
+                        ShareState aReason,
+                        TimePoint aUntil)
 {
-  if (mClosed.size() > kMaxTeams * kSharesPerLimit) {
-    mClosed.clear();
+  if (mExcluded.size() > kMaxTeams * kSharesPerLimit) {
+    mExcluded.clear();
   }
-  mClosed[aKey] = { aWhy, aUntil };
+  mExcluded[aKey] = { aReason, aUntil };
 }
 
 ShareState
 ShareDirectory::StateOf(const ShareKey& aKey, TimePoint aNow) const
 {
-  const auto found = mClosed.find(aKey);
-  const bool isClosed = found != mClosed.end() && aNow < found->second.mUntil;
-  return isClosed ? found->second.mWhy : ShareState::kOpen;
+  const auto found = mExcluded.find(aKey);
+  const bool isExcluded =
+    found != mExcluded.end() && aNow < found->second.mUntil;
+  return isExcluded ? found->second.mReason : ShareState::kOpen;
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/list_freshness.cpp
+++ b/packages/state/src/list_freshness.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Revisions of other objects that are remembered. One that is forgotten costs
-/// a reading of the list, no more.
+/// Maximum number of stored revisions of other objects. A dropped one only
+/// costs an extra read of the list.
 constexpr std::size_t kMaxOthers = 1024;
 
 } // namespace
--- a/packages/state/src/retry_after.cpp
+++ b/packages/state/src/retry_after.cpp
@@ -31,7 +31,7 @@
   return Millis(static_cast<std::int64_t>(std::ceil(millis)));
 }
 
-/// Reads "Sun, 06 Nov 1994 08:49:37 GMT".
+/// Parses "Sun, 06 Nov 1994 08:49:37 GMT".
 std::optional<std::int64_t>
 ReadDate(std::string_view aText)
 {
--- a/packages/state/src/share_ownership.cpp
+++ b/packages/state/src/share_ownership.cpp
@@ -82,8 +82,8 @@
 {
   const auto [found, isNew] = aListing.mIsOwn.try_emplace(aKey, false);
   if (isNew && !aListing.mHosts.empty()) {
-    const auto keeper = OwnerOfShare(aListing.mHosts, aKey);
-    found->second = aListing.mHosts[keeper] == mOwnHost;
+    const auto owner = OwnerOfShare(aListing.mHosts, aKey);
+    found->second = aListing.mHosts[owner] == mOwnHost;
   }
   const bool isOwn = found->second;
   if (aListing.mIsOwn.size() > mSettings.mMaxShares) {
--- a/packages/state/src/window_budget.cpp
+++ b/packages/state/src/window_budget.cpp
@@ -10,7 +10,7 @@
 }
 
 std::int64_t
-WindowBudget::NumberOf(TimePoint aNow) const
+WindowBudget::SliceNumberAt(TimePoint aNow) const
 {
   const auto slice = mSettings.mWindow / static_cast<int>(kSlices);
   return (aNow - mStart) / slice;
@@ -29,13 +29,13 @@
 void
 WindowBudget::NoteFirst(TimePoint aNow)
 {
-  ++SliceOf(NumberOf(aNow)).mFirsts;
+  ++SliceOf(SliceNumberAt(aNow)).mFirsts;
 }
 
 bool
 WindowBudget::MayRepeat(TimePoint aNow) const
 {
-  const std::int64_t now = NumberOf(aNow);
+  const std::int64_t now = SliceNumberAt(aNow);
   double firsts = 0.0;
   double repeats = 0.0;
   for (const auto& slice : mSlices) {
@@ -56,7 +56,7 @@
 {
   const bool isAllowed = MayRepeat(aNow);
   if (isAllowed) {
-    ++SliceOf(NumberOf(aNow)).mRepeats;
+    ++SliceOf(SliceNumberAt(aNow)).mRepeats;
   }
   return isAllowed;
 }
