--- a/packages/state/tests/endpoint_availability_model_test.cpp
+++ b/packages/state/tests/endpoint_availability_model_test.cpp
@@ -1,10 +1,10 @@
-// A model of one relay and one endpoint among generated schedules, against a
-// checker of what the endpoint advertised.
+// Simulates one relay and one endpoint under generated schedules and checks
+// that the relay respects what the endpoint advertised.
 //
-// Answers take their own time and pass each other; the endpoint drains, asks
-// for cooldowns and starts again under its id; lists come late, and lapse; the
-// machine of the relay is suspended. Requests are sent right after the choice,
-// or after a wait.
+// Answers have random delays and overtake each other; the endpoint drains, asks
+// for cooldowns and restarts under its id; lists arrive late and entries
+// expire; the relay's machine is suspended. Requests are sent right after the
+// choice of the endpoint, or after a wait.
 
 #include <gtest/gtest.h>
 
@@ -20,35 +20,37 @@
 namespace {
 
 constexpr Millis kStep{ 10 };
-constexpr Millis kCooldownHeard{ 500 };
-constexpr std::size_t kCooldownSlack = 2;
+constexpr Millis kCooldownGrace{ 500 };
+constexpr std::size_t kAllowedInCooldown = 2;
 constexpr int kLongestAnswer = 300;
 constexpr int kLongestWait = 750;
 constexpr int kLatestList = 4000;
-/// An incarnation that does not drain is used at least so often, whatever the
-/// lists did.
-constexpr Millis kUsedWithin{ 10000 };
+/// An incarnation that does not drain gets a request at least this often,
+/// whatever the lists contained.
+constexpr Millis kMaxIdle{ 10000 };
 
-/// What is taken out of the mechanism for a play.
-enum class Without
+/// The part of the mechanism that a run disables, to show that the checker
+/// notices.
+enum class Disabled
 {
   kNothing,
-  kAskingAtTheSend,
-  kLongestCooldown, ///< the one that was asked for last holds
-  kIncarnation,     ///< answers count for whatever is believed to be there
-  kMemoryOfRemoved,
+  kCheckAtSend,
+  kLongestCooldown, ///< the latest request for a cooldown wins
+  kIncarnation,     ///< answers are applied to the current incarnation
+  kRetentionOfRemoved,
 };
 
-/// One incarnation as it really is.
+/// Actual state of one incarnation.
 struct Incarnation
 {
   EndpointIncarnation mEndpointIncarnation;
   TimePoint mFrom;
   bool mIsDraining = false;
   TimePoint mRefusesUntil;
-  std::optional<TimePoint> mDrainHeardAt; ///< by the relay, in an answer
+  std::optional<TimePoint>
+    mDrainHeardAt; ///< time at which the relay got it in an answer
   std::vector<TimePoint> mArrivals;
-  /// Cooldowns that reached the relay: from the refusal to the end.
+  /// Cooldowns whose answer reached the relay: from the refusal to the end.
   std::vector<std::pair<TimePoint, TimePoint>> mCooldowns;
 };
 
@@ -57,12 +59,12 @@
 class World
 {
 public:
-  World(std::uint64_t aSeed, Without aWithout)
-    : mWithout(aWithout)
+  World(std::uint64_t aSeed, Disabled aDisabled)
+    : mDisabled(aDisabled)
     , mRandom(aSeed)
   {
     Restart();
-    MergeList({ mEndpoint->mEndpointIncarnation, true });
+    HandleList({ mEndpoint->mEndpointIncarnation, true });
   }
 
   void Run(std::chrono::seconds aTime)
@@ -70,20 +72,20 @@
     const auto end = mClock.Now() + aTime;
     while (mClock.Now() < end) {
       mClock.Advance(kStep);
-      Fault();
+      InjectFaults();
       while (!mQueue.empty() && mQueue.top().mAt <= mClock.Now()) {
         const auto call = mQueue.top().mCall;
         mQueue.pop();
         call();
       }
       if (Chance(0.2) && !IsSuspended()) {
-        Want();
+        StartRequest();
       }
-      CheckUse();
+      CheckIdle();
     }
   }
 
-  bool IsBroken() const { return mIsBroken; }
+  bool IsViolated() const { return mIsViolated; }
   std::size_t Cooldowns() const { return mCooldowns; }
   std::size_t Drains() const { return mDrains; }
 
@@ -94,12 +96,12 @@
     bool mIsListed = true;
   };
 
-  struct Later
+  struct ScheduledCall
   {
     TimePoint mAt;
     std::uint64_t mOrder;
     std::function<void()> mCall;
-    bool operator<(const Later& aOther) const
+    bool operator<(const ScheduledCall& aOther) const
     {
       return std::pair(aOther.mAt, aOther.mOrder) < std::pair(mAt, mOrder);
     }
@@ -113,25 +115,25 @@
   {
     return Millis(std::uniform_int_distribution(aFrom, aTo)(mRandom));
   }
-  void In(Millis aTime, std::function<void()> aCall)
+  void After(Millis aTime, std::function<void()> aCall)
   {
     mQueue.push({ mClock.Now() + aTime, ++mOrder, std::move(aCall) });
   }
   bool IsSuspended() const { return mClock.Now() < mSuspendedUntil; }
 
-  /// Runs what the relay does once its machine goes on.
+  /// Runs a call on the relay as soon as its machine is not suspended.
   void OnRelay(std::function<void()> aCall)
   {
     if (IsSuspended()) {
       const auto left =
         std::chrono::ceil<Millis>(mSuspendedUntil - mClock.Now());
-      In(left, [this, aCall] { OnRelay(aCall); });
+      After(left, [this, aCall] { OnRelay(aCall); });
     } else {
       aCall();
     }
   }
 
-  void Fault()
+  void InjectFaults()
   {
     if (Chance(0.0006)) {
       mEndpoint->mIsDraining = true;
@@ -141,22 +143,24 @@
       mEndpoint->mRefusesUntil = mClock.Now() + Draw(200, 4000);
     }
     if (Chance(0.0004)) {
-      // It may drain right before, so that its last answers come afterwards.
+      // It may start draining right before, so that its last answers arrive
+      // after the restart.
       if (Chance(0.5)) {
         mEndpoint->mIsDraining = true;
       }
       const auto ended = mEndpoint;
-      In(Draw(20, kLongestAnswer), [this, ended] {
+      After(Draw(20, kLongestAnswer), [this, ended] {
         if (mEndpoint == ended) {
           Restart();
         }
       });
     }
     if (Chance(0.004)) {
-      // A list as it was some time ago, or one without a lapsed entry.
+      // A list as of now that arrives later, or one that lacks the entry
+      // because it expired.
       const Listing listing{ mEndpoint->mEndpointIncarnation, !Chance(0.2) };
-      In(Draw(0, kLatestList),
-         [this, listing] { OnRelay([=, this] { MergeList(listing); }); });
+      After(Draw(0, kLatestList),
+            [this, listing] { OnRelay([=, this] { HandleList(listing); }); });
     }
     if (Chance(0.0003)) {
       mSuspendedUntil = mClock.Now() + Draw(200, 5000);
@@ -170,94 +174,94 @@
     mEndpoint->mEndpointIncarnation = EndpointIncarnation(mClock.WallMillis());
     mEndpoint->mFrom = mClock.Now();
     const Listing listing{ mEndpoint->mEndpointIncarnation, true };
-    In(Chance(0.5) ? Draw(0, kLongestAnswer) : Draw(0, kLatestList),
-       [this, listing] { OnRelay([=, this] { MergeList(listing); }); });
+    After(Chance(0.5) ? Draw(0, kLongestAnswer) : Draw(0, kLatestList),
+          [this, listing] { OnRelay([=, this] { HandleList(listing); }); });
   }
 
-  // The relay.
+  // Relay.
 
-  void MergeList(const Listing& aListing)
+  void HandleList(const Listing& aListing)
   {
     if (!aListing.mIsListed) {
-      mBook.NoteRemoved("i-1");
-      if (mWithout == Without::kMemoryOfRemoved) {
-        mBook = AvailabilityRegistry();
+      mRegistry.NoteRemoved("i-1");
+      if (mDisabled == Disabled::kRetentionOfRemoved) {
+        mRegistry = AvailabilityRegistry();
       }
-      mBelieved = nullptr;
+      mCurrent = nullptr;
       // The next heartbeat lists it again.
-      In(Draw(100, 2000), [this] {
+      After(Draw(100, 2000), [this] {
         OnRelay([this] {
-          MergeList({ mEndpoint->mEndpointIncarnation, true });
+          HandleList({ mEndpoint->mEndpointIncarnation, true });
         });
       });
       return;
     }
-    if (!mBelieved) {
+    if (!mCurrent) {
       mTracker = IncarnationTracker();
-      mBelieved = mBook.Find("i-1", aListing.mEndpointIncarnation);
+      mCurrent = mRegistry.Find("i-1", aListing.mEndpointIncarnation);
     }
-    const auto word =
+    const auto update =
       mTracker.Take(aListing.mEndpointIncarnation, mClock.Now());
-    if (word == IncarnationUpdate::kNewer) {
-      mBelieved = mBook.Begin("i-1", mTracker.Current());
+    if (update == IncarnationUpdate::kNewer) {
+      mCurrent = mRegistry.Begin("i-1", mTracker.Current());
     }
-    mBelieved->SetListing(true, false);
+    mCurrent->SetListing(true, false);
   }
 
-  void Want()
+  void StartRequest()
   {
-    const auto chosen = mBelieved;
+    const auto chosen = mCurrent;
     if (!chosen || chosen->ObstacleAt(mClock.Now()) != Obstacle::kNone) {
       return;
     }
     const auto wait = Chance(0.3) ? Draw(0, kLongestWait) : Millis(0);
-    In(wait, [this, chosen] { OnRelay([this, chosen] { Send(chosen); }); });
+    After(wait, [this, chosen] { OnRelay([this, chosen] { Send(chosen); }); });
   }
 
   void Send(const AvailabilityRegistry::Ptr& aChosen)
   {
     const auto obstacle = aChosen->ObstacleAtSend(mClock.Now(), {});
-    if (obstacle != Obstacle::kNone && mWithout != Without::kAskingAtTheSend) {
+    if (obstacle != Obstacle::kNone && mDisabled != Disabled::kCheckAtSend) {
       return;
     }
     const auto clearance =
       std::make_shared<SendClearance>(aChosen->GrantClearance(mClock.Now()));
-    const auto there = mEndpoint;
-    Arrive(*there);
+    const auto endpoint = mEndpoint;
+    Arrive(*endpoint);
     EndpointNotice notice;
-    notice.mIsDraining = there->mIsDraining;
-    const auto left = there->mRefusesUntil - mClock.Now();
+    notice.mIsDraining = endpoint->mIsDraining;
+    const auto left = endpoint->mRefusesUntil - mClock.Now();
     if (left > Millis(0)) {
       notice.mRetryAfter = { RetryAfterForm::kDelay,
                              std::chrono::ceil<Millis>(left),
                              0 };
     }
     const auto sentAt = mClock.Now();
-    In(Draw(1, kLongestAnswer), [=, this] {
+    After(Draw(1, kLongestAnswer), [=, this] {
       OnRelay([=, this] {
-        TakeAnswer(aChosen, there, notice, sentAt);
+        HandleAnswer(aChosen, endpoint, notice, sentAt);
         aChosen->Settle(std::move(*clearance), left <= Millis(0));
       });
     });
   }
 
-  void TakeAnswer(const AvailabilityRegistry::Ptr& aChosen,
-                  const IncarnationPtr& aFrom,
-                  const EndpointNotice& aNotice,
-                  TimePoint aRefusedAt)
+  void HandleAnswer(const AvailabilityRegistry::Ptr& aChosen,
+                    const IncarnationPtr& aFrom,
+                    const EndpointNotice& aNotice,
+                    TimePoint aRefusedAt)
   {
-    auto& belief =
-      mWithout == Without::kIncarnation && mBelieved ? mBelieved : aChosen;
+    auto& current =
+      mDisabled == Disabled::kIncarnation && mCurrent ? mCurrent : aChosen;
     const bool isCooldown = aNotice.mRetryAfter.mDelay > Millis(0);
-    if (mWithout == Without::kLongestCooldown && isCooldown) {
+    if (mDisabled == Disabled::kLongestCooldown && isCooldown) {
       const auto changed = std::make_shared<EndpointAvailability>();
-      changed->Take({ belief->IsDraining(), {}, {} }, mClock.Now(), 0);
-      *belief = *changed;
+      changed->Take({ current->IsDraining(), {}, {} }, mClock.Now(), 0);
+      *current = *changed;
     }
-    belief->Take(aNotice, mClock.Now(), mClock.WallMillis());
-    // The answer is attributed to the incarnation that was chosen.
+    current->Take(aNotice, mClock.Now(), mClock.WallMillis());
+    // Answers are attributed to the incarnation that was chosen.
     if (mTracker.Current() != aFrom->mEndpointIncarnation ||
-        aChosen != mBelieved) {
+        aChosen != mCurrent) {
       return;
     }
     if (aNotice.mIsDraining && !aFrom->mDrainHeardAt) {
@@ -270,48 +274,47 @@
     }
   }
 
-  // The checker.
+  // Checker.
 
-  void Arrive(Incarnation& aThere)
+  void Arrive(Incarnation& aEndpoint)
   {
     const auto now = mClock.Now();
-    mIsBroken =
-      mIsBroken || (aThere.mDrainHeardAt && now > *aThere.mDrainHeardAt);
-    aThere.mArrivals.push_back(now);
-    for (const auto& [from, until] : aThere.mCooldowns) {
-      const auto heard = from + kCooldownHeard;
+    mIsViolated = mIsViolated ||
+                  (aEndpoint.mDrainHeardAt && now > *aEndpoint.mDrainHeardAt);
+    aEndpoint.mArrivals.push_back(now);
+    for (const auto& [from, until] : aEndpoint.mCooldowns) {
+      const auto heard = from + kCooldownGrace;
       const auto count = static_cast<std::size_t>(
-        std::count_if(aThere.mArrivals.begin(),
-                      aThere.mArrivals.end(),
+        std::count_if(aEndpoint.mArrivals.begin(),
+                      aEndpoint.mArrivals.end(),
                       [&, until = until](TimePoint aAt) {
                         return aAt > heard && aAt < until;
                       }));
-      mIsBroken =
-        mIsBroken || (count > kCooldownSlack && from >= mExcusedUntil);
+      mIsViolated =
+        mIsViolated || (count > kAllowedInCooldown && from >= mExcusedUntil);
     }
   }
 
-  void CheckUse()
+  void CheckIdle()
   {
     const auto& arrivals = mEndpoint->mArrivals;
     const auto last = arrivals.empty() ? mEndpoint->mFrom : arrivals.back();
-    const bool isIdle =
-      mClock.Now() - std::max(last, mExcusedUntil) > kUsedWithin;
-    mIsBroken = mIsBroken || (isIdle && !mEndpoint->mIsDraining);
+    const bool isIdle = mClock.Now() - std::max(last, mExcusedUntil) > kMaxIdle;
+    mIsViolated = mIsViolated || (isIdle && !mEndpoint->mIsDraining);
   }
 
-  Without mWithout;
+  Disabled mDisabled;
   std::mt19937_64 mRandom;
   ManualClock mClock;
-  std::priority_queue<Later> mQueue;
+  std::priority_queue<ScheduledCall> mQueue;
   std::uint64_t mOrder = 0;
   IncarnationPtr mEndpoint;
-  AvailabilityRegistry mBook;
-  AvailabilityRegistry::Ptr mBelieved; ///< null: nothing is listed
+  AvailabilityRegistry mRegistry;
+  AvailabilityRegistry::Ptr mCurrent; ///< null: nothing is listed
   IncarnationTracker mTracker;
   TimePoint mSuspendedUntil;
   TimePoint mExcusedUntil;
-  bool mIsBroken = false;
+  bool mIsViolated = false;
   std::size_t mCooldowns = 0;
   std::size_t mDrains = 0;
 };
@@ -319,30 +322,30 @@
 constexpr std::uint64_t kSeeds = 60;
 constexpr std::chrono::seconds kTime{ 200 };
 
-/// Seeds of which the checker finds the world broken.
+/// Number of seeds for which the checker finds a violation.
 std::size_t
-Broken(Without aWithout)
+CountViolations(Disabled aDisabled)
 {
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aWithout);
+    World world(seed, aDisabled);
     world.Run(kTime);
-    broken += world.IsBroken() ? 1 : 0;
+    violations += world.IsViolated() ? 1 : 0;
   }
-  return broken;
+  return violations;
 }
 
 } // namespace
 
-TEST(GeneratedAdvertisements, WhatAnEndpointAdvertisesIsHeeded)
+TEST(GeneratedAdvertisements, AdvertisedDrainsAndCooldownsAreRespected)
 {
   std::size_t cooldowns = 0;
   std::size_t drains = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World world(seed, Without::kNothing);
+    World world(seed, Disabled::kNothing);
     world.Run(kTime);
-    EXPECT_FALSE(world.IsBroken());
+    EXPECT_FALSE(world.IsViolated());
     cooldowns += world.Cooldowns();
     drains += world.Drains();
   }
@@ -350,24 +353,25 @@
   EXPECT_GT(drains, kSeeds);
 }
 
-TEST(GeneratedAdvertisements, TheCheckerFindsAPathThatDoesNotAskAtTheSend)
+TEST(GeneratedAdvertisements, TheCheckerFindsAMissingCheckAtSend)
 {
-  EXPECT_GT(Broken(Without::kAskingAtTheSend), 0U);
+  EXPECT_GT(CountViolations(Disabled::kCheckAtSend), 0U);
 }
 
-TEST(GeneratedAdvertisements, TheCheckerFindsAShorterCooldownThatWins)
+TEST(GeneratedAdvertisements,
+     TheCheckerFindsAShorterCooldownThatOverridesALonger)
 {
-  EXPECT_GT(Broken(Without::kLongestCooldown), 0U);
+  EXPECT_GT(CountViolations(Disabled::kLongestCooldown), 0U);
 }
 
 TEST(GeneratedAdvertisements, TheCheckerFindsAnswersOfAFormerIncarnation)
 {
-  EXPECT_GT(Broken(Without::kIncarnation), 0U);
+  EXPECT_GT(CountViolations(Disabled::kIncarnation), 0U);
 }
 
-TEST(GeneratedAdvertisements, TheCheckerFindsALapseThatIsForgotten)
+TEST(GeneratedAdvertisements, TheCheckerFindsAnExpiredEntryThatIsForgotten)
 {
-  EXPECT_GT(Broken(Without::kMemoryOfRemoved), 0U);
+  EXPECT_GT(CountViolations(Disabled::kRetentionOfRemoved), 0U);
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_availability_test.cpp
+++ b/packages/state/tests/endpoint_availability_test.cpp
@@ -4,8 +4,8 @@
 
 #include "shuntjunction/state/endpoint_availability.h"
 
-// Whether a relay may send to an endpoint, by the list, by the endpoint's own
-// answers and by attempts that failed.
+// Whether a relay may send to an endpoint, according to the list, the
+// endpoint's own answers and failed attempts.
 
 namespace shuntjunction::state {
 
@@ -56,7 +56,7 @@
   EXPECT_EQ(Now(), Obstacle::kNone);
 }
 
-TEST_F(GivenAListedEndpoint, OnceItIsRemovedNothingElseIsAsked)
+TEST_F(GivenAListedEndpoint, RemovalComesBeforeAnyOtherObstacle)
 {
   Take(Drain());
   mEndpoint.SetListing(false, false);
@@ -116,7 +116,7 @@
     mSent.push_back(mEndpoint.GrantClearance(mClock.Now()));
   }
 
-  /// Sends a request, which is answered at once.
+  /// Sends a request that is answered at once.
   void SendOne(bool aIsAccepted)
   {
     ASSERT_EQ(Now(), Obstacle::kNone);
@@ -149,7 +149,7 @@
   EXPECT_EQ(Now(), Obstacle::kCooldown);
 }
 
-TEST_F(ThatAskedForACooldown, AnAnswerThatCrossedItDoesNotEndIt)
+TEST_F(ThatAskedForACooldown, AnAnswerSentBeforeItDoesNotEndIt)
 {
   Take({});
   EXPECT_EQ(Now(), Obstacle::kCooldown);
@@ -174,7 +174,7 @@
   EXPECT_EQ(Now(), Obstacle::kRecovering);
 }
 
-TEST_F(WhoseCooldownIsOver, EachAcceptedRequestDoublesThoseUnderWay)
+TEST_F(WhoseCooldownIsOver, EachAcceptedRequestDoublesThoseInFlight)
 {
   SendOne(true);
   SendUnanswered();
@@ -183,14 +183,14 @@
   EXPECT_EQ(Now(), Obstacle::kRecovering);
 }
 
-TEST_F(WhoseCooldownIsOver, ARequestThatFailsDoesNotOpenItFurther)
+TEST_F(WhoseCooldownIsOver, AFailedRequestDoesNotRaiseTheLimit)
 {
   SendOne(false);
   SendUnanswered();
   EXPECT_EQ(Now(), Obstacle::kRecovering);
 }
 
-TEST_F(WhoseCooldownIsOver, AfterSomeAcceptedRequestsThereIsNoBound)
+TEST_F(WhoseCooldownIsOver, AfterSomeAcceptedRequestsThereIsNoLimit)
 {
   for (int i = 0; i < 4; ++i) {
     SendOne(true);
@@ -201,7 +201,7 @@
   }
 }
 
-TEST_F(WhoseCooldownIsOver, ANewOneBeginsTheRecoveryAnew)
+TEST_F(WhoseCooldownIsOver, ANewCooldownRestartsTheRecovery)
 {
   auto former = mEndpoint.GrantClearance(mClock.Now());
   Take(Cooldown(kTime));
@@ -211,71 +211,74 @@
   EXPECT_EQ(Now(), Obstacle::kRecovering);
 }
 
-class GivenABookOfEndpoints : public ::testing::Test
+class GivenAnAvailabilityRegistry : public ::testing::Test
 {
 protected:
-  AvailabilityRegistry mBook;
+  AvailabilityRegistry mRegistry;
   const EndpointIncarnation mFirst{ 1000 };
   const EndpointIncarnation mSecond{ 2000 };
 };
 
-TEST_F(GivenABookOfEndpoints, AnEntryThatLapsedAndCameBackIsStillDraining)
+TEST_F(GivenAnAvailabilityRegistry,
+       AnEntryThatExpiredAndReappearedIsStillDraining)
 {
-  mBook.Find("i-1", mFirst)->Take(Drain(), TimePoint(), 0);
-  mBook.NoteRemoved("i-1");
-  EXPECT_EQ(mBook.Removed(), 1U);
-  const auto again = mBook.Find("i-1", mFirst);
+  mRegistry.Find("i-1", mFirst)->Take(Drain(), TimePoint(), 0);
+  mRegistry.NoteRemoved("i-1");
+  EXPECT_EQ(mRegistry.Removed(), 1U);
+  const auto again = mRegistry.Find("i-1", mFirst);
   again->SetListing(true, false);
   EXPECT_EQ(again->ObstacleAt(TimePoint()), Obstacle::kDraining);
-  EXPECT_EQ(mBook.Removed(), 0U);
+  EXPECT_EQ(mRegistry.Removed(), 0U);
 }
 
-TEST_F(GivenABookOfEndpoints, AListThatComesLateIsNoNewIncarnation)
+TEST_F(GivenAnAvailabilityRegistry, ADelayedListIsNoNewIncarnation)
 {
-  mBook.Find("i-1", mSecond)->Take(Drain(), TimePoint(), 0);
-  mBook.NoteRemoved("i-1");
-  for (const auto life : { mFirst, EndpointIncarnation() }) {
-    EXPECT_TRUE(mBook.Find("i-1", life)->IsDraining());
+  mRegistry.Find("i-1", mSecond)->Take(Drain(), TimePoint(), 0);
+  mRegistry.NoteRemoved("i-1");
+  for (const auto incarnation : { mFirst, EndpointIncarnation() }) {
+    EXPECT_TRUE(mRegistry.Find("i-1", incarnation)->IsDraining());
   }
 }
 
-TEST_F(GivenABookOfEndpoints, AnIncarnationThatALateListHidIsNoNewOne)
+TEST_F(GivenAnAvailabilityRegistry, AnIncarnationHiddenByADelayedListIsNotNew)
 {
-  mBook.Find("i-1", mSecond)->Take(Drain(), TimePoint(), 0);
-  mBook.NoteRemoved("i-1");
-  mBook.Find("i-1", mFirst);
-  EXPECT_TRUE(mBook.Begin("i-1", mSecond)->IsDraining());
+  mRegistry.Find("i-1", mSecond)->Take(Drain(), TimePoint(), 0);
+  mRegistry.NoteRemoved("i-1");
+  mRegistry.Find("i-1", mFirst);
+  EXPECT_TRUE(mRegistry.Begin("i-1", mSecond)->IsDraining());
 }
 
-TEST_F(GivenABookOfEndpoints, ANewIncarnationIsAvailableWhateverTheFormerSaid)
+TEST_F(GivenAnAvailabilityRegistry,
+       ANewIncarnationIsAvailableWhateverTheFormerReported)
 {
-  const auto former = mBook.Find("i-1", mFirst);
+  const auto former = mRegistry.Find("i-1", mFirst);
   former->Take(Drain(), TimePoint(), 0);
-  mBook.NoteRemoved("i-1");
-  const auto next = mBook.Find("i-1", mSecond);
+  mRegistry.NoteRemoved("i-1");
+  const auto next = mRegistry.Find("i-1", mSecond);
   EXPECT_EQ(next->ObstacleAt(TimePoint()), Obstacle::kNone);
   EXPECT_EQ(former->ObstacleAt(TimePoint()), Obstacle::kRemoved);
 }
 
-TEST_F(GivenABookOfEndpoints, AnAnswerOfAFormerIncarnationSaysNothingOfTheNext)
+TEST_F(GivenAnAvailabilityRegistry,
+       AnAnswerOfAFormerIncarnationDoesNotAffectTheNext)
 {
-  const auto former = mBook.Find("i-1", mFirst);
-  const auto next = mBook.Begin("i-1", mSecond);
+  const auto former = mRegistry.Find("i-1", mFirst);
+  const auto next = mRegistry.Begin("i-1", mSecond);
   former->Take(Drain(), TimePoint(), 0);
   EXPECT_FALSE(next->IsDraining());
 }
 
-TEST_F(GivenABookOfEndpoints, OfThoseRemovedTheLatestAreRemembered)
+TEST_F(GivenAnAvailabilityRegistry, TheLatestRemovedEndpointsAreKept)
 {
   constexpr int kMany = 3000;
   for (int i = 0; i < kMany; ++i) {
     const auto id = "i-" + std::to_string(i);
-    mBook.Find(id, mFirst)->Take(Drain(), TimePoint(), 0);
-    mBook.NoteRemoved(id);
+    mRegistry.Find(id, mFirst)->Take(Drain(), TimePoint(), 0);
+    mRegistry.NoteRemoved(id);
   }
-  EXPECT_LE(mBook.Removed(), 1024U);
+  EXPECT_LE(mRegistry.Removed(), 1024U);
   EXPECT_TRUE(
-    mBook.Find("i-" + std::to_string(kMany - 1), mFirst)->IsDraining());
+    mRegistry.Find("i-" + std::to_string(kMany - 1), mFirst)->IsDraining());
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_incarnation_test.cpp
+++ b/packages/state/tests/endpoint_incarnation_test.cpp
@@ -1,5 +1,5 @@
-// The story of endpoints that start again under the id that they had, and of
-// words about their former lives that come late.
+// Endpoints that restart under the same id, and delayed reports about their
+// former incarnations.
 
 #include <gtest/gtest.h>
 
@@ -17,71 +17,71 @@
 
 } // namespace
 
-class GivenALife : public ::testing::Test
+class GivenAnIncarnation : public ::testing::Test
 {
 protected:
-  GivenALife() { mTracker.Take(kFirst, mClock.Now()); }
+  GivenAnIncarnation() { mTracker.Take(kFirst, mClock.Now()); }
 
-  IncarnationUpdate Hear(EndpointIncarnation aLife)
+  IncarnationUpdate Report(EndpointIncarnation aIncarnation)
   {
-    return mTracker.Take(aLife, mClock.Now());
+    return mTracker.Take(aIncarnation, mClock.Now());
   }
 
   ManualClock mClock;
   IncarnationTracker mTracker;
 };
 
-TEST_F(GivenALife, ItsOwnWordsAreOfTheSame)
+TEST_F(GivenAnIncarnation, ItsOwnReportsChangeNothing)
 {
-  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kSame);
+  EXPECT_EQ(Report(kFirst), IncarnationUpdate::kSame);
 }
 
-TEST_F(GivenALife, AnEndpointThatTellsNoStartIsTakenAsTheSame)
+TEST_F(GivenAnIncarnation, AReportWithoutAStartChangesNothing)
 {
-  EXPECT_EQ(Hear(EndpointIncarnation()), IncarnationUpdate::kSame);
+  EXPECT_EQ(Report(EndpointIncarnation()), IncarnationUpdate::kSame);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
-TEST_F(GivenALife, ALaterStartIsBelievedAtOnce)
+TEST_F(GivenAnIncarnation, ALaterStartIsAcceptedAtOnce)
 {
-  EXPECT_EQ(Hear(kSecond), IncarnationUpdate::kNewer);
+  EXPECT_EQ(Report(kSecond), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kSecond);
 }
 
-class ThatAnotherFollowed : public GivenALife
+class ThatWasReplaced : public GivenAnIncarnation
 {
 protected:
-  ThatAnotherFollowed() { Hear(kSecond); }
+  ThatWasReplaced() { Report(kSecond); }
 };
 
-TEST_F(ThatAnotherFollowed, WordsOfTheFormerThatComeLateChangeNothing)
+TEST_F(ThatWasReplaced, DelayedReportsOfTheFormerChangeNothing)
 {
-  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
+  EXPECT_EQ(Report(kFirst), IncarnationUpdate::kFormer);
   EXPECT_EQ(mTracker.Current(), kSecond);
 }
 
-TEST_F(ThatAnotherFollowed, NorDoTheyWhileTheOtherIsHeardToo)
+TEST_F(ThatWasReplaced, NorDoTheyWhileTheNewerIsReportedToo)
 {
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
+    EXPECT_EQ(Report(kFirst), IncarnationUpdate::kFormer);
     mClock.Advance(1s);
-    EXPECT_EQ(Hear(kSecond), IncarnationUpdate::kSame);
+    EXPECT_EQ(Report(kSecond), IncarnationUpdate::kSame);
   }
 }
 
-// A clock that ran ahead was set right before the endpoint started again: its
-// later life names the earlier moment.
-TEST_F(ThatAnotherFollowed, AnEarlierStartIsBelievedOnceOnlyThatIsHeard)
+// The endpoint's clock ran ahead and was corrected before a restart, so the
+// newer incarnation reports an earlier start.
+TEST_F(ThatWasReplaced, AnEarlierStartIsAcceptedOnceItAloneIsReported)
 {
-  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
+  EXPECT_EQ(Report(kFirst), IncarnationUpdate::kFormer);
   mClock.Advance(kFormerIncarnationGrace - 1ms);
-  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kFormer);
+  EXPECT_EQ(Report(kFirst), IncarnationUpdate::kFormer);
   mClock.Advance(1ms);
-  EXPECT_EQ(Hear(kFirst), IncarnationUpdate::kNewer);
+  EXPECT_EQ(Report(kFirst), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
-TEST_F(ThatAnotherFollowed, WhatTheEndpointAnswersItselfIsBelievedAtOnce)
+TEST_F(ThatWasReplaced, TheEndpointsOwnAnswerIsAcceptedAtOnce)
 {
   EXPECT_EQ(mTracker.TakeSelfReport(kFirst), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kFirst);
@@ -92,14 +92,14 @@
 protected:
   GivenAListedEndpoint() { Put(kFirst, 5); }
 
-  void Put(EndpointIncarnation aLife,
+  void Put(EndpointIncarnation aIncarnation,
            std::uint64_t aRevision,
            bool aIsLeaving = false)
   {
     EndpointInfo info;
     info.mId = "a";
     info.mAddress = "1:" + std::to_string(aRevision);
-    info.mEndpointIncarnation = aLife;
+    info.mEndpointIncarnation = aIncarnation;
     info.mRevision = aRevision;
     info.mIsLeaving = aIsLeaving;
     mDirectory.Put(info, mClock.Now());
@@ -111,26 +111,26 @@
   EndpointDirectory mDirectory;
 };
 
-TEST_F(GivenAListedEndpoint, ItsNextLifeTakesItsPlace)
+TEST_F(GivenAListedEndpoint, ItsNextIncarnationReplacesIt)
 {
   Put(kSecond, 6);
   EXPECT_EQ(Listed().mEndpointIncarnation, kSecond);
   EXPECT_EQ(Listed().mAddress, "1:6");
 }
 
-TEST_F(GivenAListedEndpoint, ALateEntryOfItsFormerLifeChangesNothing)
+TEST_F(GivenAListedEndpoint, ADelayedEntryOfItsFormerIncarnationChangesNothing)
 {
   Put(kSecond, 6);
   Put(kFirst, 7);
   EXPECT_EQ(Listed().mAddress, "1:6");
   EXPECT_EQ(mDirectory.StaleReports(), 1U);
   {
-    SCOPED_TRACE("a list that holds it is no further word");
+    SCOPED_TRACE("a list that repeats it is not counted again");
     Put(kFirst, 7);
     EXPECT_EQ(mDirectory.StaleReports(), 1U);
   }
   {
-    SCOPED_TRACE("the life itself writes again");
+    SCOPED_TRACE("the current incarnation writes again");
     Put(kSecond, 8);
     mClock.Advance(10s);
     EXPECT_FALSE(mDirectory.Expire(mClock.Now()));
@@ -138,7 +138,7 @@
   }
 }
 
-TEST_F(GivenAListedEndpoint, ThatItLeavesCountsWhicheverLifeSaysSo)
+TEST_F(GivenAListedEndpoint, ItIsLeavingWhicheverIncarnationReportsIt)
 {
   Put(kSecond, 6);
   Put(kFirst, 7, true);
@@ -147,7 +147,7 @@
   EXPECT_FALSE(Listed().mIsLeaving);
 }
 
-TEST_F(GivenAListedEndpoint, AnEarlierStartThatStaysIsBelieved)
+TEST_F(GivenAListedEndpoint, AnEarlierStartThatPersistsIsAccepted)
 {
   Put(kSecond, 6);
   Put(kFirst, 7);
@@ -157,7 +157,7 @@
   EXPECT_EQ(Listed().mAddress, "1:7");
 }
 
-TEST_F(GivenAListedEndpoint, AnEntryThatNamesNoEndpointGoesAlsoAfterAnOutage)
+TEST_F(GivenAListedEndpoint, AnEntryThatIsNoEndpointIsDroppedEvenAfterAnOutage)
 {
   mDirectory.NoteOutage(mClock.Now());
   EXPECT_TRUE(mDirectory.Drop("a"));
@@ -167,19 +167,19 @@
   EXPECT_EQ(mDirectory.Endpoints().size(), 1U);
 }
 
-TEST(GivenPartsThatAreBeingRead, ThoseOfAnEndingLifeAreNotWaitedFor)
+TEST(GivenPartsThatAreBeingRead, ThoseOfAnEndedReaderAreNotWaitedFor)
 {
   ManualClock clock;
   clock.Advance(1s);
-  PartRecordTable ledger(8);
+  PartRecordTable table(8);
   for (const char* reader : { "a", "b" }) {
-    auto& record = ledger.At(std::string("part of ") + reader);
+    auto& record = table.At(std::string("part of ") + reader);
     record.mPrefillStartedAt = clock.Now();
     record.mPrefillEndpoint = reader;
   }
-  ledger.ForgetPrefillsOf("a");
-  EXPECT_FALSE(ledger.At("part of a").IsPrefilling());
-  EXPECT_TRUE(ledger.At("part of b").IsPrefilling());
+  table.ForgetPrefillsOf("a");
+  EXPECT_FALSE(table.At("part of a").IsPrefilling());
+  EXPECT_TRUE(table.At("part of b").IsPrefilling());
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_limit_model_test.cpp
+++ b/packages/state/tests/endpoint_limit_model_test.cpp
@@ -1,10 +1,10 @@
-// A model of relays, one endpoint that names its rate, and the companion that
-// keeps it, among faults; against a checker that sums what reaches the endpoint
-// in each four seconds.
+// Simulates relays, one endpoint that advertises a rate limit and the companion
+// that owns the rate, under faults, and checks how many requests reach the
+// endpoint in any four seconds.
 //
-// Every message takes its own time; some are lost; relays stand still, are cut
-// off from the keeper, or start anew, as the keeper does; the rate changes,
-// ends and comes back. What is wanted is many times what the endpoint takes.
+// Messages have random delays and some are lost; relays are suspended, cut off
+// from the owner or restarted; the owner restarts too; the rate changes, ends
+// and returns. The demand is many times the rate.
 
 #include <gtest/gtest.h>
 
@@ -21,21 +21,22 @@
 namespace {
 
 constexpr Millis kWindow{ 4000 };
-constexpr Millis kContact{ 3000 };
-constexpr Millis kHeard{ 500 };
+constexpr Millis kSettling{ 3000 };
+constexpr Millis kPropagation{ 500 };
 constexpr Millis kStep{ 10 };
 constexpr int kRelays = 6;
 constexpr LimitedEndpoint kEndpoint{ 7, true };
 
-/// What is taken out of the mechanism for a play.
-enum class Without
+/// The part of the mechanism that a run disables, to show that the checker
+/// notices.
+enum class Disabled
 {
   kNothing,
-  kSharedKeeper, ///< each relay keeps the rate for itself
-  kSingleUse,    ///< a place that was used is given back besides
+  kSharedOwner, ///< each relay enforces the rate on its own
+  kSingleUse,   ///< a used permit is returned as well
 };
 
-/// A rate and when it was in force.
+/// A rate and since when it is in force.
 struct RatePeriod
 {
   std::optional<double> mPerSecond;
@@ -45,13 +46,13 @@
 class World
 {
 public:
-  World(std::uint64_t aSeed, Without aWithout)
-    : mWithout(aWithout)
+  World(std::uint64_t aSeed, Disabled aDisabled)
+    : mDisabled(aDisabled)
     , mRandom(aSeed)
     , mRelays(kRelays)
   {
-    Change(std::nullopt);
-    StartKeeper();
+    ChangeRate(std::nullopt);
+    StartOwner();
     for (auto& relay : mRelays) {
       relay.mOwn = NewLimits();
     }
@@ -62,7 +63,7 @@
     const auto end = mClock.Now() + aTime;
     while (mClock.Now() < end) {
       mClock.Advance(kStep);
-      Fault();
+      InjectFaults();
       while (!mQueue.empty() && mQueue.top().mAt <= mClock.Now()) {
         const auto call = mQueue.top().mCall;
         mQueue.pop();
@@ -70,14 +71,15 @@
       }
       for (std::size_t i = 0; i < mRelays.size(); ++i) {
         if (Chance(0.1)) {
-          Want(i);
+          StartRequest(i);
         }
       }
     }
   }
 
-  /// Whether some window saw more than one and a half times the rate, and five.
-  bool IsBroken() const
+  /// Whether some window of four seconds saw more requests than one and a half
+  /// times the rate, plus five.
+  bool IsViolated() const
   {
     std::size_t first = 0;
     for (std::size_t i = 0; i < mArrivals.size(); ++i) {
@@ -95,16 +97,16 @@
 
   std::size_t Arrivals() const { return mArrivals.size(); }
 
-  /// Requests that came while no rate had been named for some seconds.
-  std::size_t FreeArrivals() const { return mFreeArrivals; }
+  /// Requests that arrived after no rate had been advertised for some seconds.
+  std::size_t UnlimitedArrivals() const { return mUnlimitedArrivals; }
 
 private:
-  struct Later
+  struct ScheduledCall
   {
     TimePoint mAt;
     std::uint64_t mOrder;
     std::function<void()> mCall;
-    bool operator<(const Later& aOther) const
+    bool operator<(const ScheduledCall& aOther) const
     {
       return std::pair(aOther.mAt, aOther.mOrder) < std::pair(mAt, mOrder);
     }
@@ -113,11 +115,11 @@
   struct Relay
   {
     std::optional<double> mRate;
-    std::optional<TimePoint> mHeardAt; ///< passed on an answer with a rate
-    TimePoint mFrozenUntil;
-    TimePoint mCutUntil; ///< from the keeper
+    std::optional<TimePoint> mRateKnownSince; ///< first answer with a rate
+    TimePoint mSuspendedUntil;
+    TimePoint mCutUntil; ///< cut off from the owner
     TimePoint mExcusedUntil;
-    int mLife = 0;
+    int mProcess = 0;
     std::unique_ptr<EndpointLimits> mOwn;
   };
 
@@ -142,17 +144,18 @@
     mQueue.push({ mClock.Now() + aTime, mOrder++, std::move(aCall) });
   }
 
-  /// Runs at a relay, once it does not stand still; nothing if it ended.
+  /// Runs a call on a relay once it is not suspended; drops it if the relay was
+  /// restarted meanwhile.
   void AtRelay(std::size_t aRelay, Millis aTime, std::function<void()> aCall)
   {
-    const auto life = mRelays[aRelay].mLife;
-    After(aTime, [this, aRelay, life, aCall] {
+    const auto process = mRelays[aRelay].mProcess;
+    After(aTime, [this, aRelay, process, aCall] {
       const auto& relay = mRelays[aRelay];
-      if (relay.mLife != life) {
+      if (relay.mProcess != process) {
         return;
       }
-      if (mClock.Now() < relay.mFrozenUntil) {
-        const auto left = relay.mFrozenUntil - mClock.Now();
+      if (mClock.Now() < relay.mSuspendedUntil) {
+        const auto left = relay.mSuspendedUntil - mClock.Now();
         AtRelay(aRelay, std::chrono::duration_cast<Millis>(left), aCall);
         return;
       }
@@ -160,7 +163,7 @@
     });
   }
 
-  void AtKeeper(std::size_t aRelay, std::function<void()> aCall)
+  void AtOwner(std::size_t aRelay, std::function<void()> aCall)
   {
     if (mClock.Now() >= mRelays[aRelay].mCutUntil && !Chance(0.01)) {
       After(Draw(1, 12), std::move(aCall));
@@ -169,11 +172,11 @@
 
   EndpointLimits& LimitsOf(std::size_t aRelay)
   {
-    return mWithout == Without::kSharedKeeper ? *mRelays[aRelay].mOwn
-                                              : *mKeeper;
+    return mDisabled == Disabled::kSharedOwner ? *mRelays[aRelay].mOwn
+                                               : *mOwner;
   }
 
-  void Want(std::size_t aRelay)
+  void StartRequest(std::size_t aRelay)
   {
     AtRelay(aRelay, Millis(0), [this, aRelay] {
       const auto& relay = mRelays[aRelay];
@@ -183,7 +186,7 @@
       }
       const auto askedAt = mClock.Now();
       const PlaceAsk ask{ kEndpoint, *relay.mRate, true };
-      AtKeeper(aRelay, [this, aRelay, ask, askedAt] {
+      AtOwner(aRelay, [this, aRelay, ask, askedAt] {
         const auto grant = LimitsOf(aRelay).Take(ask, mClock.Now());
         AtRelay(aRelay, Draw(1, 12), [this, aRelay, grant, askedAt] {
           const bool isInTime = mClock.Now() - askedAt < Millis(100);
@@ -195,18 +198,18 @@
     });
   }
 
-  void Send(std::size_t aRelay, std::optional<std::uint32_t> aEdition)
+  void Send(std::size_t aRelay, std::optional<std::uint32_t> aVersion)
   {
     // The connection to the endpoint may have to be opened first.
-    After(Chance(0.1) ? Draw(50, 400) : Draw(1, 3), [this, aRelay, aEdition] {
+    After(Chance(0.1) ? Draw(50, 400) : Draw(1, 3), [this, aRelay, aVersion] {
       Arrive(aRelay);
-      if (aEdition && mWithout == Without::kSingleUse) {
+      if (aVersion && mDisabled == Disabled::kSingleUse) {
         LimitsOf(aRelay).GiveBack(kEndpoint.mHash);
       }
-      After(Draw(10, 400), [this, aRelay, aEdition] {
+      After(Draw(10, 400), [this, aRelay, aVersion] {
         const auto rate = mRates.back().mPerSecond;
-        AtRelay(aRelay, Draw(1, 30), [this, aRelay, rate, aEdition] {
-          TakeAnswer(aRelay, rate, aEdition);
+        AtRelay(aRelay, Draw(1, 30), [this, aRelay, rate, aVersion] {
+          HandleAnswer(aRelay, rate, aVersion);
         });
       });
     });
@@ -218,99 +221,101 @@
     const auto& relay = mRelays[aRelay];
     const auto& period = mRates.back();
     if (!period.mPerSecond) {
-      mFreeArrivals += now >= period.mFrom + kContact ? 1 : 0;
+      mUnlimitedArrivals += now >= period.mFrom + kSettling ? 1 : 0;
       return;
     }
-    const bool isBound =
-      relay.mHeardAt &&
-      now >= std::max(*relay.mHeardAt, period.mFrom) + kHeard &&
+    const bool isLimited =
+      relay.mRateKnownSince &&
+      now >= std::max(*relay.mRateKnownSince, period.mFrom) + kPropagation &&
       now >= relay.mExcusedUntil;
-    if (isBound) {
+    if (isLimited) {
       mArrivals.push_back(now);
     }
   }
 
-  void TakeAnswer(std::size_t aRelay,
-                  std::optional<double> aRate,
-                  std::optional<std::uint32_t> aEdition)
+  void HandleAnswer(std::size_t aRelay,
+                    std::optional<double> aRate,
+                    std::optional<std::uint32_t> aVersion)
   {
     auto& relay = mRelays[aRelay];
     if (aRate) {
       relay.mRate = aRate;
-      relay.mHeardAt = relay.mHeardAt.value_or(mClock.Now());
+      relay.mRateKnownSince = relay.mRateKnownSince.value_or(mClock.Now());
     }
-    const bool isEnd = !aRate && relay.mRate && aEdition;
+    const bool isEnd = !aRate && relay.mRate && aVersion;
     if (!aRate && !isEnd) {
       return;
     }
     const EndpointRate rate{ aRate ? RateNotice::kNamed : RateNotice::kAbsent,
                              aRate.value_or(0) };
-    const RateReport report{ kEndpoint, rate, aEdition.value_or(0) };
-    AtKeeper(aRelay, [this, aRelay, report] { TakeReport(aRelay, report); });
+    const RateReport report{ kEndpoint, rate, aVersion.value_or(0) };
+    AtOwner(aRelay, [this, aRelay, report] { HandleReport(aRelay, report); });
   }
 
-  void TakeReport(std::size_t aRelay, const RateReport& aReport)
+  void HandleReport(std::size_t aRelay, const RateReport& aReport)
   {
-    const auto news = LimitsOf(aRelay).Note(aReport, mClock.Now());
-    for (std::size_t i = 0; news && i < mRelays.size(); ++i) {
+    const auto update = LimitsOf(aRelay).Note(aReport, mClock.Now());
+    for (std::size_t i = 0; update && i < mRelays.size(); ++i) {
       const bool isReached = mClock.Now() >= mRelays[i].mCutUntil;
-      if (isReached && (mWithout != Without::kSharedKeeper || i == aRelay)) {
-        AtRelay(i, Draw(1, 12), [this, i, rate = news->mPerSecond] {
+      if (isReached && (mDisabled != Disabled::kSharedOwner || i == aRelay)) {
+        AtRelay(i, Draw(1, 12), [this, i, rate = update->mPerSecond] {
           mRelays[i].mRate = rate;
         });
       }
     }
   }
 
-  void StartKeeper() { mKeeper = NewLimits(); }
+  void StartOwner() { mOwner = NewLimits(); }
 
-  void Change(std::optional<double> aRate)
+  void ChangeRate(std::optional<double> aRate)
   {
     mRates.push_back({ aRate, mClock.Now() });
   }
 
-  void Fault()
+  void InjectFaults()
   {
     const auto now = mClock.Now();
-    constexpr double kSeldom = 0.002;
-    if (Chance(kSeldom)) {
-      constexpr std::array<double, 4> kSome{ 0.5, 1.0, 2.3, 6.0 };
-      const auto drawn = mRandom() % (kSome.size() + 1);
-      Change(drawn < kSome.size() ? std::optional(kSome[drawn]) : std::nullopt);
+    constexpr double kFaultChance = 0.002;
+    if (Chance(kFaultChance)) {
+      constexpr std::array<double, 4> kSampleRates{ 0.5, 1.0, 2.3, 6.0 };
+      const auto drawn = mRandom() % (kSampleRates.size() + 1);
+      ChangeRate(drawn < kSampleRates.size()
+                   ? std::optional(kSampleRates[drawn])
+                   : std::nullopt);
     }
-    if (Chance(kSeldom)) {
-      StartKeeper();
+    if (Chance(kFaultChance)) {
+      StartOwner();
     }
     auto& relay = mRelays[mRandom() % mRelays.size()];
-    if (Chance(kSeldom)) {
-      relay.mFrozenUntil = now + Draw(200, 4000);
-      relay.mExcusedUntil = relay.mFrozenUntil + kContact;
+    if (Chance(kFaultChance)) {
+      relay.mSuspendedUntil = now + Draw(200, 4000);
+      relay.mExcusedUntil = relay.mSuspendedUntil + kSettling;
     }
-    if (Chance(kSeldom)) {
+    if (Chance(kFaultChance)) {
       relay.mCutUntil = now + Draw(200, 5000);
     }
-    if (Chance(kSeldom)) {
-      ++relay.mLife;
-      relay.mExcusedUntil = now + kContact;
-      const auto known = mKeeper->Known();
+    if (Chance(kFaultChance)) {
+      ++relay.mProcess;
+      relay.mExcusedUntil = now + kSettling;
+      const auto known = mOwner->Known();
       relay.mRate = known.empty() ? std::nullopt : known[0].mPerSecond;
     }
   }
 
-  /// The largest rate that may count in the window that ends at a time; empty
-  /// before the bound holds.
+  /// The highest rate that may apply in the window ending at aAt; empty while
+  /// the limit is not yet in effect.
   std::optional<double> LargestRate(TimePoint aAt) const
   {
     std::optional<double> largest;
     for (std::size_t i = 0; i < mRates.size(); ++i) {
       const bool isLast = i + 1 == mRates.size();
       const auto until = isLast ? TimePoint::max() : mRates[i + 1].mFrom;
-      const bool overlaps =
-        mRates[i].mFrom <= aAt && (isLast || until + kHeard >= aAt - kWindow);
+      const bool overlaps = mRates[i].mFrom <= aAt &&
+                            (isLast || until + kPropagation >= aAt - kWindow);
       if (!overlaps) {
         continue;
       }
-      if (!mRates[i].mPerSecond || mRates[i].mFrom + kContact > aAt) {
+      if (!mRates[i].mPerSecond || mRates[i].mFrom + kSettling > aAt) {
         return std::nullopt;
       }
       largest = std::max(largest.value_or(0), *mRates[i].mPerSecond);
@@ -318,55 +323,56 @@
     return largest;
   }
 
-  Without mWithout;
+  Disabled mDisabled;
   ManualClock mClock;
   std::mt19937_64 mRandom;
   ShareOwnership mOwnership{ {}, "10.0.0.1" };
-  std::unique_ptr<EndpointLimits> mKeeper;
+  std::unique_ptr<EndpointLimits> mOwner;
   std::vector<Relay> mRelays;
   std::vector<RatePeriod> mRates;
-  std::vector<TimePoint> mArrivals; ///< of relays that the rate binds
-  std::size_t mFreeArrivals = 0;
-  std::priority_queue<Later> mQueue;
+  std::vector<TimePoint> mArrivals; ///< from relays that the rate applies to
+  std::size_t mUnlimitedArrivals = 0;
+  std::priority_queue<ScheduledCall> mQueue;
   std::uint64_t mOrder = 0;
 };
 
-/// Seeds of which a play broke the bound.
+/// Number of seeds with a violation of the limit.
 int
-Broken(Without aWithout)
+CountViolations(Disabled aDisabled)
 {
   constexpr std::uint64_t kSeeds = 40;
-  int broken = 0;
+  int violations = 0;
   std::size_t arrivals = 0;
-  std::size_t free = 0;
+  std::size_t unlimited = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aWithout);
+    World world(seed, aDisabled);
     world.Run(std::chrono::seconds(90));
-    broken += world.IsBroken() ? 1 : 0;
+    violations += world.IsViolated() ? 1 : 0;
     arrivals += world.Arrivals();
-    free += world.FreeArrivals();
+    unlimited += world.UnlimitedArrivals();
   }
-  // A keeper that gives nothing, or a rate that never ends, proves nothing.
+  // An owner that grants nothing, or a rate that never ends, would make the
+  // test meaningless.
   EXPECT_GT(arrivals, 1000U);
-  EXPECT_GT(free, 1000U);
-  return broken;
+  EXPECT_GT(unlimited, 1000U);
+  return violations;
 }
 
 } // namespace
 
-TEST(GeneratedFaultsOfRates, AnEndpointGetsNoMoreThanItSaysItTakes)
+TEST(GeneratedFaultsOfRates, AnEndpointGetsNoMoreThanItAdvertises)
 {
-  EXPECT_EQ(Broken(Without::kNothing), 0);
+  EXPECT_EQ(CountViolations(Disabled::kNothing), 0);
 }
 
-TEST(GeneratedFaultsOfRates, ItGetsMoreWhenEachRelayKeepsTheRateForItself)
+TEST(GeneratedFaultsOfRates, ItGetsMoreWhenEachRelayEnforcesTheRateAlone)
 {
-  EXPECT_GT(Broken(Without::kSharedKeeper), 0);
+  EXPECT_GT(CountViolations(Disabled::kSharedOwner), 0);
 }
 
-TEST(GeneratedFaultsOfRates, ItGetsMoreWhenAPlaceIsGivenTwice)
+TEST(GeneratedFaultsOfRates, ItGetsMoreWhenAPermitIsGrantedTwice)
 {
-  EXPECT_GT(Broken(Without::kSingleUse), 0);
+  EXPECT_GT(CountViolations(Disabled::kSingleUse), 0);
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -1,5 +1,5 @@
-// The story of an endpoint in need that names the requests a second that it
-// takes, and of the companion that keeps this rate for all relays.
+// An overloaded endpoint advertises the requests per second that it accepts,
+// and one companion enforces this rate for all relays.
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr LimitedEndpoint kBeside{ 7, true };
+constexpr LimitedEndpoint kSameHost{ 7, true };
 
 EndpointRate
 Named(double aPerSecond)
@@ -23,34 +23,34 @@
 
 } // namespace
 
-class GivenAKeeper : public ::testing::Test
+class GivenAnOwner : public ::testing::Test
 {
 protected:
   PlaceGrant Ask(bool aIsUrgent = true,
-                 LimitedEndpoint aEndpoint = kBeside,
+                 LimitedEndpoint aEndpoint = kSameHost,
                  double aPerSecond = 2.0)
   {
     return mLimits.Take({ aEndpoint, aPerSecond, aIsUrgent }, mClock.Now());
   }
 
   std::optional<RateNews> Note(EndpointRate aRate,
-                               std::uint32_t aEdition = 0,
-                               LimitedEndpoint aEndpoint = kBeside)
+                               std::uint32_t aVersion = 0,
+                               LimitedEndpoint aEndpoint = kSameHost)
   {
-    return mLimits.Note({ aEndpoint, aRate, aEdition }, mClock.Now());
+    return mLimits.Note({ aEndpoint, aRate, aVersion }, mClock.Now());
   }
 
-  /// Places that are given in a time to relays that ask all the time.
-  int GivenIn(std::chrono::seconds aTime)
+  /// Number of permits granted within a time to relays that ask continuously.
+  int GrantedWithin(std::chrono::seconds aTime)
   {
     constexpr Millis kStep{ 10 };
-    int given = 0;
+    int granted = 0;
     const auto end = mClock.Now() + aTime;
     while (mClock.Now() < end) {
-      given += Ask().mIsGiven ? 1 : 0;
+      granted += Ask().mIsGiven ? 1 : 0;
       mClock.Advance(kStep);
     }
-    return given;
+    return granted;
   }
 
   ManualClock mClock;
@@ -58,64 +58,64 @@
   EndpointLimits mLimits{ {}, mOwnership, 100 };
 };
 
-TEST_F(GivenAKeeper, TheFirstAnswerThatNamesARateIsNewsForAllRelays)
+TEST_F(GivenAnOwner, TheFirstReportOfARateIsSentToAllRelays)
 {
-  const auto news = Note(Named(2.0));
-  ASSERT_TRUE(news);
-  EXPECT_EQ(news->mPerSecond, 2.0);
+  const auto update = Note(Named(2.0));
+  ASSERT_TRUE(update);
+  EXPECT_EQ(update->mPerSecond, 2.0);
   {
-    SCOPED_TRACE("but no further one that names the same");
+    SCOPED_TRACE("but not a further one with the same rate");
     EXPECT_FALSE(Note(Named(2.0)));
   }
   {
-    SCOPED_TRACE("another figure is");
+    SCOPED_TRACE("a different rate is sent");
     EXPECT_EQ(Note(Named(0.5))->mPerSecond, 0.5);
   }
   {
-    SCOPED_TRACE("and relays that connect later hear it");
+    SCOPED_TRACE("and relays that connect later get it");
     ASSERT_EQ(mLimits.Known().size(), 1U);
     EXPECT_EQ(mLimits.Known()[0].mPerSecond, 0.5);
   }
 }
 
-class ThatWasToldARate : public GivenAKeeper
+class ThatWasReportedARate : public GivenAnOwner
 {
 protected:
-  ThatWasToldARate() { Note(Named(2.0)); }
+  ThatWasReportedARate() { Note(Named(2.0)); }
 };
 
-TEST_F(ThatWasToldARate, ItBeginsWithNothingToGive)
+TEST_F(ThatWasReportedARate, ItStartsWithAnEmptyBucket)
 {
   const auto grant = Ask();
   EXPECT_FALSE(grant.mIsGiven);
   EXPECT_EQ(grant.mRefill, Millis(500));
 }
 
-TEST_F(ThatWasToldARate, ItGivesTheRateHoweverManyAsk)
+TEST_F(ThatWasReportedARate, ItGrantsTheRateHoweverManyAsk)
 {
-  EXPECT_EQ(GivenIn(std::chrono::seconds(20)), 39);
+  EXPECT_EQ(GrantedWithin(std::chrono::seconds(20)), 39);
 }
 
-TEST_F(ThatWasToldARate, AfterARestItGivesASecondsWorthAndTwoMore)
+TEST_F(ThatWasReportedARate, AfterAnIdleTimeItGrantsOneSecondsWorthAndTwoMore)
 {
   mClock.Advance(Millis(60000) - Millis(1));
-  int given = 0;
+  int granted = 0;
   while (Ask().mIsGiven) {
-    ++given;
+    ++granted;
   }
-  EXPECT_EQ(given, 4);
+  EXPECT_EQ(granted, 4);
 }
 
-TEST_F(ThatWasToldARate, APlaceThatComesBackCanBeGivenAgain)
+TEST_F(ThatWasReportedARate, AReturnedPermitCanBeGrantedAgain)
 {
   mClock.Advance(Millis(500));
   EXPECT_TRUE(Ask().mIsGiven);
   EXPECT_FALSE(Ask().mIsGiven);
-  mLimits.GiveBack(kBeside.mHash);
+  mLimits.GiveBack(kSameHost.mHash);
   EXPECT_TRUE(Ask().mIsGiven);
 }
 
-TEST_F(ThatWasToldARate, UrgentRequestsTakeTheNextPlaceBeforeOthers)
+TEST_F(ThatWasReportedARate, UrgentRequestsGetTheNextPermitBeforeOthers)
 {
   mClock.Advance(Millis(500));
   EXPECT_FALSE(Ask(false).mIsGiven);
@@ -127,50 +127,50 @@
   }
 }
 
-TEST_F(ThatWasToldARate, AnAnswerWithoutOneEndsIt)
+TEST_F(ThatWasReportedARate, AnAnswerWithoutOneEndsIt)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
   ASSERT_TRUE(grant.mIsGiven);
-  const auto news = Note({}, grant.mRateVersion);
-  ASSERT_TRUE(news);
-  EXPECT_FALSE(news->mPerSecond);
+  const auto update = Note({}, grant.mRateVersion);
+  ASSERT_TRUE(update);
+  EXPECT_FALSE(update->mPerSecond);
   EXPECT_TRUE(mLimits.Known().empty());
 }
 
-TEST_F(ThatWasToldARate, AnAnswerWithoutOneThatAnotherPassedDoesNot)
+TEST_F(ThatWasReportedARate, AnOvertakenAnswerWithoutOneDoesNot)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
   Note(Named(2.0));
   EXPECT_FALSE(Note({}, grant.mRateVersion));
   {
-    SCOPED_TRACE("nor one whose request went without a place");
+    SCOPED_TRACE("nor one whose request was sent without a permit");
     EXPECT_FALSE(Note({}, 0));
   }
 }
 
-TEST_F(ThatWasToldARate, ALowerRateLeavesNothingOfTheFormerBurst)
+TEST_F(ThatWasReportedARate, ALowerRateLeavesNothingOfTheFormerBurst)
 {
   mClock.Advance(Millis(30000));
   Note(Named(0.5));
-  EXPECT_LE(GivenIn(std::chrono::seconds(4)), 4 * 0.5 + 0.5 + 2);
+  EXPECT_LE(GrantedWithin(std::chrono::seconds(4)), 4 * 0.5 + 0.5 + 2);
 }
 
-TEST_F(GivenAKeeper, ARateOfZeroLetsOneThroughNowAndThen)
+TEST_F(GivenAnOwner, ARateOfZeroStillAllowsAFewRequests)
 {
   Note(Named(0));
-  EXPECT_EQ(GivenIn(std::chrono::seconds(9)), 2);
+  EXPECT_EQ(GrantedWithin(std::chrono::seconds(9)), 2);
 }
 
-TEST_F(GivenAKeeper, ThatRestartedItLearnsTheRateFromTheFirstQuestion)
+TEST_F(GivenAnOwner, AfterARestartItLearnsTheRateFromTheFirstRequest)
 {
-  EXPECT_FALSE(Ask(true, kBeside, 2.0).mIsGiven);
+  EXPECT_FALSE(Ask(true, kSameHost, 2.0).mIsGiven);
   mClock.Advance(Millis(500));
-  EXPECT_TRUE(Ask(true, kBeside, 2.0).mIsGiven);
+  EXPECT_TRUE(Ask(true, kSameHost, 2.0).mIsGiven);
 }
 
-TEST_F(GivenAKeeper, OfAnEndpointWithoutCompanionItGivesOnlyIfItIsTheKeeper)
+TEST_F(GivenAnOwner, ForAnEndpointWithoutCompanionItGrantsOnlyIfItIsTheOwner)
 {
   const LimitedEndpoint plain{ 7, false };
   EXPECT_FALSE(Note(Named(2.0), 0, plain));
@@ -179,7 +179,7 @@
   mClock.Advance(Millis(500));
   EXPECT_TRUE(Ask(true, plain).mIsGiven);
   {
-    SCOPED_TRACE("and forgets it when another keeps it");
+    SCOPED_TRACE("and drops it when another companion owns it");
     mClock.Advance(Millis(5000));
     mOwnership.SetHosts({ "10.0.0.2" }, mClock.Now());
     mLimits.ForgetUnowned();
@@ -197,13 +197,13 @@
   }
 }
 
-TEST(GivenAnEndpoint, AnotherLifeOfItHasNamedNothing)
+TEST(GivenAnEndpoint, AnotherIncarnationOfItHasNoRate)
 {
   EXPECT_NE(HashOfIncarnation("i-1", EndpointIncarnation(1)),
             HashOfIncarnation("i-1", EndpointIncarnation(2)));
 }
 
-TEST(GivenCallersWithoutAPlace, TheyComeBackAsFastAsAllRelaysMaySend)
+TEST(GivenRefusedCallers, TheirRetriesMatchTheRateOfAllRelays)
 {
   const TimePoint now;
   RetrySchedule schedule;
@@ -211,17 +211,17 @@
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(2300));
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(4300));
   {
-    SCOPED_TRACE("and are told of no time that is far off");
+    SCOPED_TRACE("and no delay is very long");
     for (int i = 0; i < 10; ++i) {
       EXPECT_LE(schedule.Next(0.1, 4, now), Millis(10000));
     }
   }
 }
 
-class GivenEndpointsOfWhichOneNamesARate : public ::testing::Test
+class GivenEndpointsOfWhichOneAdvertisesARate : public ::testing::Test
 {
 protected:
-  GivenEndpointsOfWhichOneNamesARate()
+  GivenEndpointsOfWhichOneAdvertisesARate()
   {
     for (std::size_t i = 0; i < mCandidates.size(); ++i) {
       mCandidates[i].mNameHash = i + 1;
@@ -231,7 +231,8 @@
     mCandidates[0].mHoldsPart = true;
   }
 
-  /// Whether some prompt or request is sent to the one that names a rate.
+  /// Whether some prompt or request is sent to the endpoint that advertises a
+  /// rate.
   bool IsUsed()
   {
     RandomSource random(1);
@@ -247,19 +248,19 @@
   std::array<RelayCandidate, 3> mCandidates;
 };
 
-TEST_F(GivenEndpointsOfWhichOneNamesARate, OthersThatHaveRoomAreChosen)
+TEST_F(GivenEndpointsOfWhichOneAdvertisesARate, OthersWithFreeSlotsAreChosen)
 {
   EXPECT_FALSE(IsUsed());
 }
 
-TEST_F(GivenEndpointsOfWhichOneNamesARate, ItIsChosenWhenTheyAreFull)
+TEST_F(GivenEndpointsOfWhichOneAdvertisesARate, ItIsChosenWhenTheyAreFull)
 {
   mCandidates[1].mRunning = 8;
   mCandidates[2].mQueuedTokens = 50000;
   EXPECT_TRUE(IsUsed());
 }
 
-TEST_F(GivenEndpointsOfWhichOneNamesARate, ItIsChosenWhenTheyAreSuspect)
+TEST_F(GivenEndpointsOfWhichOneAdvertisesARate, ItIsChosenWhenTheyAreSuspect)
 {
   mCandidates[1].mIsSuspect = true;
   mCandidates[2].mIsSuspect = true;
--- a/packages/state/tests/endpoint_silence_test.cpp
+++ b/packages/state/tests/endpoint_silence_test.cpp
@@ -1,4 +1,4 @@
-// The story of a machine that stops, or is cut off, without a word.
+// A machine that stops or is cut off without closing its connections.
 
 #include <gtest/gtest.h>
 
@@ -9,52 +9,54 @@
 class GivenAnEndpointAndItsCompanion : public ::testing::Test
 {
 protected:
-  GivenAnEndpointAndItsCompanion() { mSigns.mHasCompanionMessage = true; }
+  GivenAnEndpointAndItsCompanion() { mSignals.mHasCompanionMessage = true; }
 
-  bool IsSilentAfter(Millis aSinceWord, Millis aSinceBytes)
+  bool IsSilentAfter(Millis aSinceMessage, Millis aSinceBytes)
   {
-    mSigns.mSinceCompanionMessage = aSinceWord;
-    mSigns.mSinceEndpointBytes = aSinceBytes;
-    return IsSilent(mSigns);
+    mSignals.mSinceCompanionMessage = aSinceMessage;
+    mSignals.mSinceEndpointBytes = aSinceBytes;
+    return IsSilent(mSignals);
   }
 
-  LivenessSignals mSigns;
+  LivenessSignals mSignals;
 };
 
-TEST_F(GivenAnEndpointAndItsCompanion, AWordThatIsDueIsNoSilence)
+TEST_F(GivenAnEndpointAndItsCompanion, AMessageThatIsDueIsNoSilence)
 {
   EXPECT_FALSE(IsSilentAfter(Millis(1000), Millis(9000)));
 }
 
-TEST_F(GivenAnEndpointAndItsCompanion, NoWordBeyondThatIs)
+TEST_F(GivenAnEndpointAndItsCompanion, AnOverdueMessageIs)
 {
   EXPECT_TRUE(IsSilentAfter(Millis(1300), Millis(9000)));
 }
 
-TEST_F(GivenAnEndpointAndItsCompanion, OneThatNeverSpokeTellsNothing)
+TEST_F(GivenAnEndpointAndItsCompanion,
+       ACompanionThatNeverSentAMessageShowsNothing)
 {
-  mSigns.mHasCompanionMessage = false;
+  mSignals.mHasCompanionMessage = false;
   EXPECT_FALSE(IsSilentAfter(Millis(60000), Millis(9000)));
 }
 
-TEST_F(GivenAnEndpointAndItsCompanion, ACompanionThatEndedTellsNothingOfIt)
+TEST_F(GivenAnEndpointAndItsCompanion,
+       ACompanionThatClosedItsConnectionShowsNothing)
 {
-  mSigns.mIsCompanionClosed = true;
+  mSignals.mIsCompanionClosed = true;
   EXPECT_FALSE(IsSilentAfter(Millis(60000), Millis(9000)));
 }
 
-class WhereARequestWaits : public GivenAnEndpointAndItsCompanion
+class WithAPendingRequest : public GivenAnEndpointAndItsCompanion
 {
 protected:
-  WhereARequestWaits() { mSigns.mHasPendingRequest = true; }
+  WithAPendingRequest() { mSignals.mHasPendingRequest = true; }
 };
 
-TEST_F(WhereARequestWaits, BytesProveItsLifeWhateverItsCompanionDoes)
+TEST_F(WithAPendingRequest, BytesShowThatItWorksWhateverItsCompanionDoes)
 {
   EXPECT_FALSE(IsSilentAfter(Millis(60000), Millis(500)));
 }
 
-TEST_F(WhereARequestWaits, BothSilentCountsSooner)
+TEST_F(WithAPendingRequest, IfBothAreSilentTheTimeoutIsShorter)
 {
   EXPECT_TRUE(IsSilentAfter(Millis(600), Millis(800)));
   EXPECT_FALSE(IsSilentAfter(Millis(599), Millis(800)));
--- a/packages/state/tests/freshness_test.cpp
+++ b/packages/state/tests/freshness_test.cpp
@@ -1,5 +1,5 @@
-// The story of a belief that is confirmed by questions which wait for news, and
-// of its source falling silent.
+// State that is confirmed by long-poll requests, and whose source stops
+// responding.
 
 #include <gtest/gtest.h>
 
@@ -7,65 +7,65 @@
 
 namespace shuntjunction::state {
 
-class GivenABelief : public ::testing::Test
+class GivenConfirmedState : public ::testing::Test
 {
 protected:
   static constexpr Millis kBound{ 5000 };
 
-  /// One question that waits its full time and is then answered.
+  /// A request that waits for its full time and is then answered.
   void AskOnce()
   {
     const auto askedAt = mClock.Now();
     mClock.Advance(ConfirmationWait(kBound));
-    mBelief.Confirm(askedAt);
+    mFreshness.Confirm(askedAt);
   }
 
   ManualClock mClock;
-  Freshness mBelief;
+  Freshness mFreshness;
 };
 
-TEST_F(GivenABelief, ItIsVeryOldBeforeItIsConfirmed)
+TEST_F(GivenConfirmedState, ItsAgeIsMaximalBeforeItIsConfirmed)
 {
-  EXPECT_FALSE(mBelief.IsKnown());
-  EXPECT_EQ(mBelief.Age(mClock.Now()), Millis::max());
+  EXPECT_FALSE(mFreshness.IsKnown());
+  EXPECT_EQ(mFreshness.Age(mClock.Now()), Millis::max());
 }
 
-TEST_F(GivenABelief, AnAnswerConfirmsTheMomentOfItsQuestion)
+TEST_F(GivenConfirmedState, AnAnswerConfirmsTheTimeOfItsRequest)
 {
   AskOnce();
-  EXPECT_EQ(mBelief.Age(mClock.Now()), ConfirmationWait(kBound));
+  EXPECT_EQ(mFreshness.Age(mClock.Now()), ConfirmationWait(kBound));
 }
 
-TEST_F(GivenABelief, AnOlderConfirmationChangesNothing)
+TEST_F(GivenConfirmedState, AnOlderConfirmationChangesNothing)
 {
   AskOnce();
-  const auto before = mBelief.Age(mClock.Now());
-  mBelief.Confirm(mClock.Now() - kBound);
-  EXPECT_EQ(mBelief.Age(mClock.Now()), before);
+  const auto before = mFreshness.Age(mClock.Now());
+  mFreshness.Confirm(mClock.Now() - kBound);
+  EXPECT_EQ(mFreshness.Age(mClock.Now()), before);
 }
 
-class WhoseSourceFallsSilentAtTheWorstMoment : public GivenABelief
+class WhoseSourceFailsAtTheWorstMoment : public GivenConfirmedState
 {
 protected:
-  WhoseSourceFallsSilentAtTheWorstMoment()
+  WhoseSourceFailsAtTheWorstMoment()
   {
     AskOnce();
     AskOnce();
-    // The next question is about to be answered.
+    // The next request is about to be answered.
     mClock.Advance(ConfirmationWait(kBound));
   }
 };
 
-TEST_F(WhoseSourceFallsSilentAtTheWorstMoment, HalfOfTheBoundIsStillBorne)
+TEST_F(WhoseSourceFailsAtTheWorstMoment, AnOutageOfHalfTheBoundIsTolerated)
 {
   mClock.Advance(kBound / 2);
-  EXPECT_LT(mBelief.Age(mClock.Now()), kBound);
+  EXPECT_LT(mFreshness.Age(mClock.Now()), kBound);
 }
 
-TEST_F(WhoseSourceFallsSilentAtTheWorstMoment, TheBoundHolds)
+TEST_F(WhoseSourceFailsAtTheWorstMoment, TheBoundHolds)
 {
   mClock.Advance(kBound - 2 * ConfirmationWait(kBound));
-  EXPECT_GE(mBelief.Age(mClock.Now()), kBound);
+  EXPECT_GE(mFreshness.Age(mClock.Now()), kBound);
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/limit_model_test.cpp
+++ b/packages/state/tests/limit_model_test.cpp
@@ -1,10 +1,10 @@
-// A model of relays and companions that keep teams' limits among faults,
-// against a checker that sums what all relays let through in any time.
+// Simulates relays and the companions that own the shares of a team's limit,
+// under faults, and checks what all relays admit over any period.
 //
-// Relays and companions see the list of companions late, each by its own delay;
-// answers are lost after something was given; companions and relays start anew,
-// one or all of them; companions are listed no more and come back; the limit
-// changes. What is wanted is several times what the limit allows.
+// Relays and companions see changes of the list of companions late, each with
+// its own delay; answers are lost after a grant; companions and relays restart,
+// singly or all at once; companions leave the list and return; the limit
+// changes. The demand is several times the limit.
 
 #include <gtest/gtest.h>
 
@@ -26,24 +26,24 @@
 constexpr int kRelays = 6;
 constexpr TeamHash kTeam = 42;
 
-/// Something that ran, and how much of the limit it used.
-struct Used
+/// An admitted request and the amount it used.
+struct Usage
 {
   TimePoint mAt;
   double mAmount = 0;
 };
 
-/// The most that was used in any window.
+/// Maximum usage within any window.
 double
-MostInAWindow(const std::vector<Used>& aUsed, Millis aWindow)
+MostInAWindow(const std::vector<Usage>& aUsages, Millis aWindow)
 {
   double most = 0;
   double sum = 0;
   std::size_t first = 0;
-  for (const auto& used : aUsed) {
-    sum += used.mAmount;
-    while (aUsed[first].mAt + aWindow <= used.mAt) {
-      sum -= aUsed[first].mAmount;
+  for (const auto& usage : aUsages) {
+    sum += usage.mAmount;
+    while (aUsages[first].mAt + aWindow <= usage.mAt) {
+      sum -= aUsages[first].mAmount;
       ++first;
     }
     most = std::max(most, sum);
@@ -51,7 +51,7 @@
   return most;
 }
 
-/// What the operator allows in a window: a tenth beyond rate and burst.
+/// The usage allowed in a window: ten percent above rate and burst.
 double
 Allowed(const UsageLimit& aLimit)
 {
@@ -60,22 +60,22 @@
   return (aLimit.mPerSecond * window.count() + aLimit.mBurst) * kOverage;
 }
 
-/// What is played, and what is taken out of the mechanism for it.
-struct Play
+/// Parameters of a run, including what it disables in the mechanism.
+struct Scenario
 {
-  double mDemand = 4.0;        ///< as a part of the limit
-  double mListChanges = 0.004; ///< of a step
+  double mDemand = 4.0;        ///< relative to the limit
+  double mListChanges = 0.004; ///< probability per step
   bool mHasFaults = true;
   Millis mHandover = kHandover;
-  bool mStartsFull = false;             ///< companions forget that they forgot
-  std::size_t mReachedRelays = kRelays; ///< that the team's callers meet
+  bool mStartsWithFullBuckets = false;  ///< of restarted companions
+  std::size_t mReachedRelays = kRelays; ///< that the callers connect to
 };
 
 class World
 {
 public:
-  World(std::uint64_t aSeed, const Play& aPlay)
-    : mPlay(aPlay)
+  World(std::uint64_t aSeed, const Scenario& aScenario)
+    : mScenario(aScenario)
     , mRandom(aSeed)
   {
     for (int i = 0; i < kCompanions; ++i) {
@@ -85,9 +85,9 @@
     for (int i = 0; i < kRelays; ++i) {
       mDirectories.emplace_back(static_cast<std::uint64_t>(i));
     }
-    mKeepers.resize(kCompanions);
+    mCompanions.resize(kCompanions);
     mListDelay.resize(kCompanions + kRelays);
-    NoteList();
+    PublishList();
     for (int i = 0; i < kCompanions; ++i) {
       Restart(i);
     }
@@ -98,17 +98,17 @@
     const auto end = mClock.Now() + aTime;
     while (mClock.Now() < end) {
       mClock.Advance(kStep);
-      if (mPlay.mHasFaults) {
-        Fault();
+      if (mScenario.mHasFaults) {
+        InjectFaults();
       }
-      Look();
-      for (std::size_t i = 0; i < mPlay.mReachedRelays; ++i) {
+      UpdateLists();
+      for (std::size_t i = 0; i < mScenario.mReachedRelays; ++i) {
         Ask(i);
       }
     }
   }
 
-  std::vector<Used> mUsed;
+  std::vector<Usage> mUsages;
   int mRefused = 0;
   UsageLimit mLimit{ 100000, 100000 };
 
@@ -130,17 +130,17 @@
     return hosts;
   }
 
-  void NoteList()
+  void PublishList()
   {
     mLists.emplace_back(mClock.Now(), Listed());
     for (auto& delay : mListDelay) {
-      // A relay believes an old list for less than a handover takes.
+      // A relay uses an old list for less than the handover time.
       delay = Millis(Draw(static_cast<int>(kHandover.count()) - 100));
     }
   }
 
-  /// The list as a process sees it whose news come so late.
-  const std::vector<std::string>& Seen(Millis aDelay) const
+  /// The list as seen by a process with a delay.
+  const std::vector<std::string>& ListAsOf(Millis aDelay) const
   {
     const auto found =
       std::find_if(mLists.rbegin(), mLists.rend(), [&](const auto& aList) {
@@ -155,44 +155,45 @@
   void Restart(int aCompanion)
   {
     LimitSharesSettings settings;
-    settings.mOwnership.mHandover = mPlay.mHandover;
+    settings.mOwnership.mHandover = mScenario.mHandover;
     const auto at = static_cast<std::size_t>(aCompanion);
-    mKeepers[at] = std::make_unique<LimitShares>(settings, mHosts[at]);
-    const auto since =
-      mPlay.mStartsFull ? mClock.Now() - std::chrono::minutes(1) : mClock.Now();
-    // It reads the list as it is now.
-    mKeepers[at]->SetHosts(Listed(), since);
+    mCompanions[at] = std::make_unique<LimitShares>(settings, mHosts[at]);
+    const auto since = mScenario.mStartsWithFullBuckets
+                         ? mClock.Now() - std::chrono::minutes(1)
+                         : mClock.Now();
+    // It reads the current list.
+    mCompanions[at]->SetHosts(Listed(), since);
     mListDelay[at] = Millis(0);
   }
 
-  void Fault()
+  void InjectFaults()
   {
-    constexpr double kOften = 0.004;
-    if (Chance() < mPlay.mListChanges) {
+    constexpr double kRestartChance = 0.004;
+    if (Chance() < mScenario.mListChanges) {
       const int companion = Draw(kCompanions);
       const auto at = static_cast<std::size_t>(companion);
       mListed[at] = !mListed[at];
-      NoteList();
+      PublishList();
     }
-    if (Chance() < kOften) {
+    if (Chance() < kRestartChance) {
       Restart(Draw(kCompanions));
     }
-    constexpr double kSeldom = 0.0008;
-    if (Chance() < kSeldom) {
+    constexpr double kFullRestartChance = 0.0008;
+    if (Chance() < kFullRestartChance) {
       for (int i = 0; i < kCompanions; ++i) {
         Restart(i);
       }
     }
   }
 
-  void Look()
+  void UpdateLists()
   {
-    for (std::size_t i = 0; i < mKeepers.size(); ++i) {
-      mKeepers[i]->SetHosts(Seen(mListDelay[i]), mClock.Now());
+    for (std::size_t i = 0; i < mCompanions.size(); ++i) {
+      mCompanions[i]->SetHosts(ListAsOf(mListDelay[i]), mClock.Now());
     }
     for (std::size_t i = 0; i < mDirectories.size(); ++i) {
       std::map<std::string, std::string> hosts;
-      for (const auto& host : Seen(mListDelay[mKeepers.size() + i])) {
+      for (const auto& host : ListAsOf(mListDelay[mCompanions.size() + i])) {
         hosts[host] = "a";
       }
       mDirectories[i].SetHosts(std::move(hosts));
@@ -203,8 +204,8 @@
   {
     const std::chrono::duration<double> step = kStep;
     constexpr double kMeanAmount = 1000;
-    const double wanted = mLimit.mPerSecond * step.count() * mPlay.mDemand /
-                          static_cast<double>(mPlay.mReachedRelays);
+    const double wanted = mLimit.mPerSecond * step.count() * mScenario.mDemand /
+                          static_cast<double>(mScenario.mReachedRelays);
     std::poisson_distribution<int> requests(wanted / kMeanAmount);
     for (int i = requests(mRandom); i > 0; --i) {
       AskOnce(aRelay, static_cast<std::uint32_t>(1 + Draw(1999)));
@@ -219,32 +220,32 @@
       if (sum >= aAmount) {
         break;
       }
-      auto& keeper = KeeperAt(source.mHost);
-      const auto grant = keeper.Take(
+      auto& shares = CompanionAt(source.mHost);
+      const auto grant = shares.Take(
         { source.mKey, mLimit, mVersion, aAmount - sum }, mClock.Now());
-      const bool isLost = mPlay.mHasFaults && Chance() < 0.01;
+      const bool isLost = mScenario.mHasFaults && Chance() < 0.01;
       if (!isLost) {
         sum += grant.mAmount;
         held.emplace_back(source, grant.mAmount);
       }
     }
     if (sum >= aAmount) {
-      mUsed.push_back({ mClock.Now(), static_cast<double>(aAmount) });
+      mUsages.push_back({ mClock.Now(), static_cast<double>(aAmount) });
       return;
     }
     ++mRefused;
     for (const auto& [source, amount] : held) {
-      KeeperAt(source.mHost).GiveBack(source.mKey, amount);
+      CompanionAt(source.mHost).GiveBack(source.mKey, amount);
     }
   }
 
-  LimitShares& KeeperAt(const std::string& aHost)
+  LimitShares& CompanionAt(const std::string& aHost)
   {
     const auto found = std::find(mHosts.begin(), mHosts.end(), aHost);
-    return *mKeepers[static_cast<std::size_t>(found - mHosts.begin())];
+    return *mCompanions[static_cast<std::size_t>(found - mHosts.begin())];
   }
 
-  Play mPlay;
+  Scenario mScenario;
   ManualClock mClock;
   RandomSource mRandom;
   std::uint64_t mVersion = 1;
@@ -252,76 +253,77 @@
   std::vector<bool> mListed;
   std::deque<std::pair<TimePoint, std::vector<std::string>>> mLists;
   std::vector<Millis> mListDelay; ///< of companions, then relays
-  std::vector<std::unique_ptr<LimitShares>> mKeepers;
+  std::vector<std::unique_ptr<LimitShares>> mCompanions;
   std::vector<ShareDirectory> mDirectories;
 };
 
-/// Changes of the list, of a step: one each second.
-constexpr double kStormOfChanges = 0.01;
+/// Probability of a list change per step: one change each second.
+constexpr double kFrequentListChanges = 0.01;
 
-/// Seeds of which a play broke the bound.
+/// Number of seeds with a violation of the limit.
 int
-Broken(const Play& aPlay)
+CountViolations(const Scenario& aScenario)
 {
   constexpr std::uint64_t kSeeds = 40;
-  int broken = 0;
+  int violations = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aPlay);
+    World world(seed, aScenario);
     world.Run(std::chrono::seconds(40));
-    broken += MostInAWindow(world.mUsed, kWindow) > Allowed(world.mLimit);
+    violations += MostInAWindow(world.mUsages, kWindow) > Allowed(world.mLimit);
   }
-  return broken;
+  return violations;
 }
 
 } // namespace
 
 TEST(GeneratedFaultsOfLimits, NoWindowSeesMoreThanIsAllowed)
 {
-  EXPECT_EQ(Broken({}), 0);
+  EXPECT_EQ(CountViolations({}), 0);
 }
 
-TEST(GeneratedFaultsOfLimits, NorWhileCompanionsComeAndGoAllTheTime)
+TEST(GeneratedFaultsOfLimits, NorWhileCompanionsJoinAndLeaveAllTheTime)
 {
-  Play play;
-  play.mListChanges = kStormOfChanges;
-  EXPECT_EQ(Broken(play), 0);
+  Scenario scenario;
+  scenario.mListChanges = kFrequentListChanges;
+  EXPECT_EQ(CountViolations(scenario), 0);
 }
 
-TEST(GeneratedFaultsOfLimits, SharesThatAreGivenAtOnceByTwoBreakIt)
+TEST(GeneratedFaultsOfLimits, AShareGrantedByTwoCompanionsAtOnceExceedsIt)
 {
-  Play play;
-  play.mListChanges = kStormOfChanges;
-  play.mHandover = Millis(0);
-  EXPECT_GT(Broken(play), 0);
+  Scenario scenario;
+  scenario.mListChanges = kFrequentListChanges;
+  scenario.mHandover = Millis(0);
+  EXPECT_GT(CountViolations(scenario), 0);
 }
 
-TEST(GeneratedFaultsOfLimits, ACompanionThatStartsWithAFullShareBreaksIt)
+TEST(GeneratedFaultsOfLimits, ACompanionThatStartsWithAFullShareExceedsIt)
 {
-  Play play;
-  play.mStartsFull = true;
-  EXPECT_GT(Broken(play), 0);
+  Scenario scenario;
+  scenario.mStartsWithFullBuckets = true;
+  EXPECT_GT(CountViolations(scenario), 0);
 }
 
 TEST(GeneratedFaultsOfLimits, TheCheckerFindsABurstAcrossTwoOfItsWindows)
 {
   const TimePoint start;
-  const std::vector<Used> bad{ { start + Millis(7900), 600000 },
-                               { start + Millis(8100), 600000 } };
+  const std::vector<Usage> bad{ { start + Millis(7900), 600000 },
+                                { start + Millis(8100), 600000 } };
   EXPECT_GT(MostInAWindow(bad, kWindow), Allowed({ 100000, 100000 }));
-  const std::vector<Used> good{ { start, 600000 },
-                                { start + kWindow, 600000 } };
+  const std::vector<Usage> good{ { start, 600000 },
+                                 { start + kWindow, 600000 } };
   EXPECT_EQ(MostInAWindow(good, kWindow), 600000);
 }
 
-TEST(CalmLimits, ATeamBelowFourFifthsIsNeverRefusedWhereverItsCallersConnect)
+TEST(LimitsWithoutFaults,
+     ATeamBelowFourFifthsIsNeverRefusedWhereverItsCallersConnect)
 {
   for (const std::size_t relays : { 1U, 2U, 6U }) {
-    Play play;
-    play.mDemand = 0.8;
-    play.mHasFaults = false;
-    play.mReachedRelays = relays;
-    World world(relays, play);
-    // The first second has no burst to draw from.
+    Scenario scenario;
+    scenario.mDemand = 0.8;
+    scenario.mHasFaults = false;
+    scenario.mReachedRelays = relays;
+    World world(relays, scenario);
+    // In the first second there is no burst to draw from.
     world.Run(std::chrono::seconds(1));
     world.mRefused = 0;
     world.Run(std::chrono::seconds(60));
@@ -329,16 +331,16 @@
   }
 }
 
-TEST(CalmLimits, ATeamFarBeyondGetsItsLimitAndNoMore)
+TEST(LimitsWithoutFaults, ATeamFarBeyondGetsItsLimitAndNoMore)
 {
-  Play play;
-  play.mHasFaults = false;
-  World world(1, play);
+  Scenario scenario;
+  scenario.mHasFaults = false;
+  World world(1, scenario);
   constexpr int kSeconds = 40;
   world.Run(std::chrono::seconds(kSeconds));
   double sum = 0;
-  for (const auto& used : world.mUsed) {
-    sum += used.mAmount;
+  for (const auto& usage : world.mUsages) {
+    sum += usage.mAmount;
   }
   EXPECT_NEAR(sum / (world.mLimit.mPerSecond * kSeconds), 1.0, 0.05);
 }
--- a/packages/state/tests/limit_shares_test.cpp
+++ b/packages/state/tests/limit_shares_test.cpp
@@ -1,4 +1,4 @@
-// The story of a team's limit that is kept in shares by companions.
+// A team's limit that is split into shares owned by companions.
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,8 @@
 const std::string kOwn = "10.0.0.1";
 const std::string kOther = "10.0.0.2";
 
-/// A share that the other keeps of two companions, and the own of one.
+/// A share that belongs to the other of two companions, and to this one if it
+/// is the only companion.
 ShareKey
 KeyOfOther()
 {
@@ -33,56 +34,56 @@
 
   void List(std::vector<std::string> aHosts)
   {
-    mKeeper.SetHosts(std::move(aHosts), mClock.Now());
+    mShares.SetHosts(std::move(aHosts), mClock.Now());
   }
 
   std::uint32_t Take(std::uint32_t aAmount, UsageLimit aLimit = kLimit)
   {
-    return mKeeper.Take({ mKey, aLimit, mVersion, aAmount }, mClock.Now())
+    return mShares.Take({ mKey, aLimit, mVersion, aAmount }, mClock.Now())
       .mAmount;
   }
 
   ManualClock mClock;
   LimitSharesSettings mSettings;
-  LimitShares mKeeper{ mSettings, kOwn };
+  LimitShares mShares{ mSettings, kOwn };
   ShareKey mKey = KeyOfOther();
   std::uint64_t mVersion = 1;
 };
 
-TEST_F(GivenACompanion, BeforeItKnowsTheListItGivesNothing)
+TEST_F(GivenACompanion, BeforeItKnowsTheListItGrantsNothing)
 {
   EXPECT_EQ(Take(1), 0U);
 }
 
-class ThatKeepsAShareSinceItsStart : public GivenACompanion
+class ThatOwnsAShareSinceItsStart : public GivenACompanion
 {
 protected:
-  ThatKeepsAShareSinceItsStart() { List({ kOwn }); }
+  ThatOwnsAShareSinceItsStart() { List({ kOwn }); }
 };
 
-TEST_F(ThatKeepsAShareSinceItsStart, ItBeginsEmptyAndFillsAtItsRate)
+TEST_F(ThatOwnsAShareSinceItsStart, ItStartsEmptyAndFillsAtItsRate)
 {
   EXPECT_EQ(Take(100), 0U);
   mClock.Advance(Millis(100));
   EXPECT_EQ(Take(1000), 100U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, ItGivesABurstAtMost)
+TEST_F(ThatOwnsAShareSinceItsStart, ItGrantsABurstAtMost)
 {
   mClock.Advance(Millis(60000));
   EXPECT_EQ(Take(9000), 2000U);
   EXPECT_EQ(Take(1), 0U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, WhatComesBackCanBeGivenAgain)
+TEST_F(ThatOwnsAShareSinceItsStart, WhatIsReturnedCanBeGrantedAgain)
 {
   mClock.Advance(Millis(60000));
   Take(2000);
-  mKeeper.GiveBack(mKey, 500);
+  mShares.GiveBack(mKey, 500);
   EXPECT_EQ(Take(2000), 500U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, ARaiseIsNoSecondBurst)
+TEST_F(ThatOwnsAShareSinceItsStart, RaisingTheLimitGrantsNoSecondBurst)
 {
   mClock.Advance(Millis(60000));
   Take(2000);
@@ -90,14 +91,15 @@
   EXPECT_EQ(Take(8000, { 4000, 80000 }), 0U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, ALowerLimitHoldsAtOnce)
+TEST_F(ThatOwnsAShareSinceItsStart, ALowerLimitHoldsAtOnce)
 {
   mClock.Advance(Millis(60000));
   mVersion = 2;
   EXPECT_EQ(Take(8000, { 400, 800 }), 200U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, ARelayThatIsBehindBringsNoOlderLimitBack)
+TEST_F(ThatOwnsAShareSinceItsStart,
+       ARelayWithAnOlderVersionDoesNotRestoreItsLimit)
 {
   mClock.Advance(Millis(60000));
   mVersion = 2;
@@ -106,7 +108,7 @@
   EXPECT_EQ(Take(8000), 200U);
 }
 
-TEST_F(ThatKeepsAShareSinceItsStart, AnAbsurdQuestionGetsNothing)
+TEST_F(ThatOwnsAShareSinceItsStart, AnInvalidRequestGetsNothing)
 {
   mClock.Advance(Millis(60000));
   EXPECT_EQ(Take(4'000'000'000U), 0U);
@@ -121,7 +123,7 @@
   ThatHasJustStarted() { List({ kOwn, kOther }); }
 };
 
-TEST_F(ThatHasJustStarted, ItTakesWhatTheListStillLacksWithoutAHandover)
+TEST_F(ThatHasJustStarted, ListChangesNeedNoHandover)
 {
   mClock.Advance(mSettings.mOwnership.mStartupWindow - Millis(1));
   List({ kOwn });
@@ -129,13 +131,13 @@
   EXPECT_GT(Take(100), 0U);
 }
 
-TEST_F(ThatHasJustStarted, AnEmptyListTellsNothing)
+TEST_F(ThatHasJustStarted, AnEmptyListIsIgnored)
 {
   List({});
-  EXPECT_FALSE(mKeeper.SetHosts({ kOwn, kOther }, mClock.Now()));
+  EXPECT_FALSE(mShares.SetHosts({ kOwn, kOther }, mClock.Now()));
 }
 
-TEST_F(ThatHasJustStarted, OnceThatTimeIsOverAShareIsHandedOver)
+TEST_F(ThatHasJustStarted, AfterTheStartupWindowAShareIsHandedOver)
 {
   mClock.Advance(mSettings.mOwnership.mStartupWindow);
   List({ kOwn });
@@ -143,10 +145,10 @@
   EXPECT_EQ(Take(100), 0U);
 }
 
-class ThatGetsAShareOfAnother : public GivenACompanion
+class ThatTakesOverAShare : public GivenACompanion
 {
 protected:
-  ThatGetsAShareOfAnother()
+  ThatTakesOverAShare()
   {
     List({ kOwn, kOther });
     mClock.Advance(Millis(60000));
@@ -155,19 +157,19 @@
   }
 };
 
-TEST_F(ThatGetsAShareOfAnother, ItGivesNothingWhileRelaysMayAskTheOther)
+TEST_F(ThatTakesOverAShare, ItGrantsNothingWhileRelaysMayAskTheOther)
 {
   mClock.Advance(mSettings.mOwnership.mHandover - Millis(1));
   EXPECT_EQ(Take(100), 0U);
 }
 
-TEST_F(ThatGetsAShareOfAnother, ThenItBeginsEmpty)
+TEST_F(ThatTakesOverAShare, ThenItStartsEmpty)
 {
   mClock.Advance(mSettings.mOwnership.mHandover + Millis(100));
   EXPECT_EQ(Take(1000), 100U);
 }
 
-TEST_F(ThatGetsAShareOfAnother, AndLosesItWhenTheOtherIsBack)
+TEST_F(ThatTakesOverAShare, AndLosesItWhenTheOtherIsBack)
 {
   mClock.Advance(Millis(60000));
   EXPECT_GT(Take(1000), 0U);
@@ -182,7 +184,7 @@
   ShareDirectory mDirectory{ 7 };
 };
 
-TEST_F(GivenARelaysDirectory, ItAsksTheCompanionsThatKeepTheShares)
+TEST_F(GivenARelaysDirectory, ItAsksTheCompanionsThatOwnTheShares)
 {
   std::map<std::string, std::string> hosts;
   std::vector<std::string> names;
@@ -207,7 +209,7 @@
   EXPECT_TRUE(mDirectory.SourcesOf(5, "a").empty());
 }
 
-TEST_F(GivenARelaysDirectory, AShareIsLeftOutForItsTime)
+TEST_F(GivenARelaysDirectory, AnExcludedShareIsSkippedForItsTime)
 {
   const ShareKey key{ 5, 1 };
   mDirectory.Exclude(key, ShareState::kSilent, mClock.Now() + Millis(50));
--- a/packages/state/tests/list_freshness_test.cpp
+++ b/packages/state/tests/list_freshness_test.cpp
@@ -1,5 +1,4 @@
-// The story of a list that a watch follows, and of what answers about other
-// objects tell of it.
+// A watched list, and what answers about other objects show about it.
 
 #include <gtest/gtest.h>
 
@@ -7,16 +6,16 @@
 
 namespace shuntjunction::state {
 
-class GivenAFollowedList : public ::testing::Test
+class GivenAWatchedList : public ::testing::Test
 {
 protected:
-  GivenAFollowedList() { mList.NoteListRevision(10, mClock.Now()); }
+  GivenAWatchedList() { mList.NoteListRevision(10, mClock.Now()); }
 
   ManualClock mClock;
   ListFreshness mList;
 };
 
-TEST_F(GivenAFollowedList, AnAnswerOfAnUnchangedStoreConfirmsIt)
+TEST_F(GivenAWatchedList, AnAnswerOfAnUnchangedStoreConfirmsIt)
 {
   mClock.Advance(Millis(700));
   mList.NoteStoreRevision(10, mClock.Now());
@@ -24,30 +23,30 @@
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
 }
 
-TEST_F(GivenAFollowedList, AChangeThatNobodyToldLeavesItBehind)
+TEST_F(GivenAWatchedList, AnUndeliveredChangeLeavesItBehind)
 {
   mClock.Advance(Millis(700));
   mList.NoteStoreRevision(11, mClock.Now());
   EXPECT_TRUE(mList.IsBehind());
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(700));
   {
-    SCOPED_TRACE("until its own watch tells");
+    SCOPED_TRACE("until its own watch delivers it");
     mList.NoteListRevision(11, mClock.Now());
     EXPECT_FALSE(mList.IsBehind());
     EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
   }
 }
 
-TEST_F(GivenAFollowedList, ChangesOfOthersDoNot)
+TEST_F(GivenAWatchedList, ChangesOfOtherObjectsDoNot)
 {
-  SCOPED_TRACE("told in any order");
+  SCOPED_TRACE("reported in any order");
   mList.NoteOtherRevision(12);
   mList.NoteOtherRevision(11);
   mList.NoteStoreRevision(12, mClock.Now());
   EXPECT_FALSE(mList.IsBehind());
 }
 
-TEST_F(GivenAFollowedList, OneBetweenChangesOfOthersDoes)
+TEST_F(GivenAWatchedList, OneBetweenChangesOfOtherObjectsDoes)
 {
   mList.NoteOtherRevision(11);
   mList.NoteOtherRevision(13);
@@ -58,7 +57,7 @@
   EXPECT_FALSE(mList.IsBehind());
 }
 
-TEST_F(GivenAFollowedList, ManyChangesOfOthersAreNotKeptForGood)
+TEST_F(GivenAWatchedList, StoredChangesOfOtherObjectsAreBounded)
 {
   for (std::uint64_t revision = 12; revision < 20000; ++revision) {
     mList.NoteOtherRevision(revision);
--- a/packages/state/tests/retry_after_test.cpp
+++ b/packages/state/tests/retry_after_test.cpp
@@ -2,7 +2,7 @@
 
 #include "shuntjunction/state/retry_after.h"
 
-// How a refusing endpoint's Retry-After is read.
+// Parsing of the Retry-After field of a refusal.
 
 namespace shuntjunction::state {
 
@@ -32,19 +32,19 @@
   EXPECT_EQ(date.From(kDateMillis - 2500), Millis(2500));
 }
 
-TEST(GivenARetryAfterField, ADateThatHasPassedAsksForNothing)
+TEST(GivenARetryAfterField, APastDateRequestsNoDelay)
 {
   EXPECT_EQ(ReadRetryAfter(kDate).From(kDateMillis + 1), Millis(0));
 }
 
-TEST(GivenARetryAfterField, AnAbsurdLengthIsBounded)
+TEST(GivenARetryAfterField, AnExcessiveDelayIsCapped)
 {
   EXPECT_EQ(ReadRetryAfter("1e12").From(0), kLongestRetryAfter);
   EXPECT_EQ(ReadRetryAfter("99999999999999999999").From(0), kLongestRetryAfter);
   EXPECT_EQ(ReadRetryAfter(kDate).From(0), kLongestRetryAfter);
 }
 
-TEST(GivenARetryAfterField, WhatIsNoTimeAsksForNothing)
+TEST(GivenARetryAfterField, InvalidValuesRequestNoDelay)
 {
   for (const auto* text : { "",
                             " ",
