--- a/packages/state/include/shuntjunction/state/endpoint_health.h
+++ b/packages/state/include/shuntjunction/state/endpoint_health.h
@@ -15,7 +15,7 @@
   kHealthy,
   kSuspect, ///< failed recently, but too rarely to be ejected
   kEjected, ///< gets no requests until its next trial
-  kTrial,   ///< one request is let through as a test
+  kTrial,   ///< gets requests again; the next result decides
 };
 
 /// Names of HealthState.
--- a/packages/state/include/shuntjunction/state/limit_shares.h
+++ b/packages/state/include/shuntjunction/state/limit_shares.h
@@ -63,7 +63,8 @@
   /// The other half covers the time between a grant and the arrival of the
   /// request.
   double mBurstTolerance = 0;
-  /// Maximum number of stored buckets; a full bucket need not be stored.
+  /// Number of buckets from which full ones are dropped; a full share needs no
+  /// bucket.
   std::size_t mMaxBuckets = 16384;
 };
 
