--- a/packages/state/include/shuntjunction/state/admission_queue.h
+++ b/packages/state/include/shuntjunction/state/admission_queue.h
@@ -12,33 +12,35 @@
 #include "shuntjunction/state/prefix_chain.h"
 #include "shuntjunction/state/request_types.h"
 
-/// Which request an endpoint takes next, and which it refuses.
+/// Admission control of an endpoint: the order in which queued requests run,
+/// and which requests are refused.
 namespace shuntjunction::state {
 
 /// Settings of an AdmissionQueue.
 struct AdmissionSettings
 {
-  std::size_t mSlots = 16;     ///< requests at the engine at once
-  std::size_t mMaxQueued = 64; ///< requests that wait, all classes together
-  std::size_t mOrdinaryTurn =
-    8; ///< one turn in so many goes to the lowest class that waits
-  Millis mMaxPrefixWait{ 400 }; ///< longest wait behind a prefix being computed
+  std::size_t mSlots = 16;     ///< requests running on the engine at once
+  std::size_t mMaxQueued = 64; ///< queued requests over all classes
+  /// Every n-th dispatch serves the classes from the lowest to the highest.
+  std::size_t mLowestClassInterval = 8;
+  /// Longest wait for another request that computes the same prefix.
+  Millis mMaxPrefixWait{ 400 };
 };
 
-/// A request that asks for admission.
+/// A request to be admitted.
 struct AdmissionTicket
 {
   std::uint64_t mId = 0; ///< unique within the queue
   Priority mPriority = Priority::kOrdinary;
   std::string mTeam;
-  double mTeamWeight = 1.0;      ///< share among teams of the class
+  double mTeamWeight = 1.0;      ///< share relative to other teams of the class
   std::int64_t mCostMicros = 0;  ///< engine time until its first token
-  PrefixHash mMissingPrefix = 0; ///< shared prefix it would compute, or 0
+  PrefixHash mMissingPrefix = 0; ///< uncached shared prefix; 0: none
   TimePoint mArrived;
   TimePoint mDeadline; ///< for its first token
 };
 
-/// A refusal; nothing of the request was run.
+/// A refused request; no part of it has run.
 struct AdmissionRefusal
 {
   std::uint64_t mId = 0;
@@ -48,12 +50,13 @@
 
 /// Admits requests by class, by team and by deadline.
 ///
-/// Urgent work goes first, but one turn in mOrdinaryTurn is given to the
-/// lowest class that waits, so that none starves. Within a class the teams
-/// share by weight (start-time fair queueing over the cost). A full queue
-/// sheds the newest request of the lowest class, never one of a higher class
-/// for one of a lower. Requests that would compute the same prefix at the
-/// same time wait for the first of them, for a bounded time.
+/// Classes are served by strict priority, except that every
+/// mLowestClassInterval-th dispatch starts at the lowest class with queued
+/// requests, so that no class starves. Within a class, teams share by weight
+/// (start-time fair queueing over the cost). A full queue sheds the newest
+/// request of the lowest class in favor of a request of a higher class, never
+/// the reverse. Of requests that miss the same prefix, one computes it and the
+/// others wait for it, at most mMaxPrefixWait after their arrival.
 ///
 /// Thread safety: none; owned by one thread.
 class AdmissionQueue
@@ -61,37 +64,40 @@
 public:
   explicit AdmissionQueue(const AdmissionSettings& aSettings);
 
-  /// Queues a request; the refusals may name it or the one shed for it.
+  /// Queues a request.
+  ///
+  /// @return the request itself if it is refused, or the request shed to make
+  ///         room for it
   std::vector<AdmissionRefusal> Enqueue(const AdmissionTicket& aTicket,
                                         TimePoint aNow);
 
-  /// Takes the next request to run; empty when none may.
+  /// Removes the next request to run from the queue; empty if none may run.
   std::optional<AdmissionTicket> Next(TimePoint aNow);
 
-  /// Refuses what can no longer be in time.
+  /// Refuses queued requests whose deadline has passed.
   std::vector<AdmissionRefusal> Expire(TimePoint aNow);
 
-  /// Refuses all that wait, for instance when the endpoint leaves.
+  /// Refuses all queued requests, for instance when the endpoint leaves.
   std::vector<AdmissionRefusal> RefuseAll(RefusalReason aReason);
 
-  /// Notes that a running request has its first token: its prefix is cached.
+  /// Records the first token of a running request: its prefix is cached now.
   void NoteFirstToken(std::uint64_t aId);
 
-  /// Takes a request out, whether it waits or runs.
+  /// Removes a request, whether it is queued or running.
   void Remove(std::uint64_t aId);
 
-  /// Engine time that stands before a request of a class which comes now.
+  /// Engine time of the work ahead of a new request of a class.
   std::int64_t WaitMicros(Priority aPriority) const;
 
-  /// Earliest time from now on at which Next or Expire may have news by the
-  /// passing of time alone; empty when nothing waits.
+  /// Earliest time at which Next or Expire may return something without any
+  /// further call to the queue; empty when nothing is queued.
   std::optional<TimePoint> NextWake(TimePoint aNow) const;
 
   std::size_t Running() const { return mRunning.size(); }
   std::size_t Queued() const { return mQueued; }
 
 private:
-  /// One class: requests that wait, ordered by start tag.
+  /// Queued requests of one class, ordered by start tag.
   struct ClassQueue
   {
     std::multimap<double, AdmissionTicket> mWaiting;
@@ -103,24 +109,25 @@
   struct RunningRequest
   {
     std::int64_t mPendingMicros = 0; ///< zero once it has its first token
-    PrefixHash mFlight = 0;
+    PrefixHash mComputedPrefix = 0;  ///< 0: none
   };
 
   ClassQueue& QueueOf(Priority aPriority);
   bool MayRun(const AdmissionTicket& aTicket, TimePoint aNow) const;
   std::optional<AdmissionTicket> TakeFrom(ClassQueue& aQueue, TimePoint aNow);
   void Erase(ClassQueue& aQueue,
-             std::multimap<double, AdmissionTicket>::iterator aWhere);
+             std::multimap<double, AdmissionTicket>::iterator aPosition);
   std::optional<std::uint64_t> ShedBelow(Priority aPriority);
   Millis RetryAfter(Priority aPriority) const;
 
   AdmissionSettings mSettings;
   std::array<ClassQueue, kPriorityCount> mClasses;
   std::unordered_map<std::uint64_t, RunningRequest> mRunning;
-  std::unordered_map<PrefixHash, std::uint64_t> mFlights;
-  std::int64_t mPendingMicros = 0;
+  /// Running request that computes each missing prefix.
+  std::unordered_map<PrefixHash, std::uint64_t> mPrefixOwners;
+  std::int64_t mPendingMicros = 0; ///< sum over mRunning
   std::size_t mQueued = 0;
-  std::uint64_t mTurn = 0;
+  std::uint64_t mDispatchCount = 0;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/block_index.h
+++ b/packages/state/include/shuntjunction/state/block_index.h
@@ -6,13 +6,14 @@
 
 #include "shuntjunction/state/prefix_chain.h"
 
-/// What one engine has in its prefix cache.
+/// Index of the blocks in an engine's prefix cache.
 namespace shuntjunction::state {
 
-/// One life of an engine; a crash begins another. Zero is no life.
+/// Identifies one run of an engine process; a restart gets another. Zero is
+/// none.
 using Incarnation = std::uint64_t;
 
-/// Something that happened in an engine's cache.
+/// Change of an engine's cache.
 enum class CacheEventKind : std::uint8_t
 {
   kStored,  ///< the block was cached
@@ -20,59 +21,61 @@
   kCleared, ///< the whole cache was dropped
 };
 
-/// A cache event as an engine publishes it: late, and with gaps.
+/// A cache event published by an engine. Events may arrive late, and some get
+/// lost.
 struct CacheEvent
 {
   Incarnation mIncarnation = 0;
-  std::uint64_t mSequence = 0; ///< counts up by one from 1 in an incarnation
+  std::uint64_t mSequence = 0; ///< counts up by one from 1 in each incarnation
   CacheEventKind mKind = CacheEventKind::kStored;
   PrefixHash mBlock = 0;
 };
 
 /// The companion's index of its engine's cache.
 ///
-/// Every entry belongs to the engine's present incarnation: a new incarnation
-/// empties it, and events of any other are dropped. A gap in the sequence
-/// leaves entries that may have been evicted, so it empties the index until
-/// the engine has been listed again or blocks are stored anew: an entry that
-/// is missing costs a wrong estimate, one that is wrong costs a promise.
+/// All entries belong to the engine's current incarnation: a new incarnation
+/// empties the index, and events of any other are dropped. After a gap in the
+/// sequence any entry may have been evicted, so the index is emptied and
+/// filled by the events that follow. A missing entry only makes an estimate
+/// wrong; a false entry breaks the guarantee that a block reported as cached
+/// is cached.
 ///
 /// Thread safety: none; owned by one thread.
 class BlockIndex
 {
 public:
-  /// What became of an event.
+  /// What was done with an event.
   enum class Outcome : std::uint8_t
   {
     kApplied,
-    kStale, ///< of a dead incarnation, or seen before
-    kGap,   ///< applied after the index was emptied
+    kStale, ///< dropped: of another incarnation, or a duplicate
+    kGap,   ///< applied after the index was emptied because of a gap
   };
 
-  /// Begins a life of the engine; the index is empty from here on.
+  /// Empties the index and begins an incarnation; zero: the engine is down.
   ///
-  /// A call with the present incarnation changes nothing.
+  /// Does nothing if the incarnation is the current one.
   void Restart(Incarnation aIncarnation);
 
   /// Applies one event.
   Outcome Apply(const CacheEvent& aEvent);
 
-  /// How many leading blocks of a chain are cached.
+  /// Number of leading blocks of a chain that are cached.
   std::uint32_t CachedBlocks(std::span<const PrefixHash> aChain) const;
 
-  /// How many blocks of the deepest cached level are cached.
+  /// Number of blocks up to the end of the deepest cached level.
   ///
-  /// Cheaper than CachedBlocks: one look-up a level. Engines evict a prefix
-  /// from its end, so a cached block implies its parents.
+  /// Cheaper than the overload for chains: one look-up per level. Engines evict
+  /// a prefix from its end, so a cached block implies its parents.
   std::uint32_t CachedBlocks(std::span<const PrefixLevel> aLevels) const;
 
-  /// Present incarnation; zero when the engine is not known to live.
+  /// Current incarnation; zero if the engine is not known to be up.
   Incarnation CurrentIncarnation() const { return mIncarnation; }
 
-  /// Number of blocks held.
+  /// Number of indexed blocks.
   std::size_t Size() const { return mBlocks.size(); }
 
-  /// Number of gaps met since the process began.
+  /// Number of sequence gaps since the process started.
   std::uint64_t Gaps() const { return mGaps; }
 
 private:
--- a/packages/state/include/shuntjunction/state/demand_tracker.h
+++ b/packages/state/include/shuntjunction/state/demand_tracker.h
@@ -5,17 +5,17 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// How much work each prefix brings.
+/// Rate of work per prefix.
 namespace shuntjunction::state {
 
 /// Settings of a DemandTracker.
 struct DemandSettings
 {
-  std::chrono::duration<double> mHalfLife{ 3.0 }; ///< of an observation
-  std::size_t mMaxKeys = 32768; ///< keys kept; the least in demand go first
+  std::chrono::duration<double> mHalfLife{ 3.0 }; ///< of recorded work
+  std::size_t mMaxKeys = 32768; ///< beyond it, keys of least demand are evicted
 };
 
-/// Decayed rates of work by key, in seconds of engine time a second.
+/// Exponentially decayed rates of work by key, in engine seconds per second.
 ///
 /// Thread safety: none; owned by one thread.
 class DemandTracker
@@ -23,24 +23,25 @@
 public:
   explicit DemandTracker(const DemandSettings& aSettings);
 
-  /// Adds work of aSeconds of engine time for a key.
+  /// Records work of aSeconds of engine time for a key.
   void Add(std::uint64_t aKey, double aSeconds, TimePoint aNow);
 
-  /// Engine seconds a second asked for by a key at present.
+  /// Current demand of a key, in engine seconds per second.
   double Rate(std::uint64_t aKey, TimePoint aNow) const;
 
-  /// Keys held.
+  /// Number of keys.
   std::size_t Size() const { return mEntries.size(); }
 
 private:
   struct Entry
   {
     double mWork = 0;
-    TimePoint mAt;
+    TimePoint mAt; ///< when mWork was updated
   };
 
   double Decayed(const Entry& aEntry, TimePoint aNow) const;
-  void DropColdest(TimePoint aNow);
+  /// Evicts all keys whose demand is not above the median.
+  void EvictColdest(TimePoint aNow);
 
   DemandSettings mSettings;
   std::unordered_map<std::uint64_t, Entry> mEntries;
--- a/packages/state/include/shuntjunction/state/endpoint_chooser.h
+++ b/packages/state/include/shuntjunction/state/endpoint_chooser.h
@@ -10,21 +10,22 @@
 #include "shuntjunction/state/endpoint_table.h"
 #include "shuntjunction/state/rendezvous.h"
 
-/// Which endpoints a request is offered to.
+/// Selection of the endpoints that a request is offered to.
 namespace shuntjunction::state {
 
-/// Most endpoints that one choice names.
+/// Upper limit of the candidates of one choice.
 inline constexpr std::size_t kMaxCandidates = 8;
 
-/// Endpoints of a team's or prefix's group, at least.
+/// Minimum size of a team's or prefix's group of endpoints.
 inline constexpr std::size_t kMinGroupWidth = 2;
 
-/// Placement key of a team's use of a model or service.
+/// Rendezvous key of a team and the model or service it uses.
 std::uint64_t
 TeamPlacementKey(std::string_view aTeam, std::string_view aServes);
 
-/// The order in which a prefix nobody asks for is offered: the team's group,
-/// then the order of each prompt level within it.
+/// Order in which endpoints are offered a prefix without recorded demand:
+/// picks the team's group of aWidth endpoints, then orders it by each prompt
+/// level in turn.
 ///
 /// Thread safety: pure.
 std::vector<RendezvousMember>
@@ -33,7 +34,7 @@
             std::span<const PrefixLevel> aLevels,
             std::size_t aWidth);
 
-/// The ways to choose; all but the first are baselines to measure against.
+/// Selection policies; all but the first are baselines for comparison.
 enum class ChoicePolicy : std::uint8_t
 {
   kNestedGroups,
@@ -48,31 +49,32 @@
   { "nested-groups", "rendezvous", "power-of-two", "least-load", "random" }
 };
 
-/// A request as a choice sees it.
+/// Properties of a request that a choice depends on.
 struct ChoiceQuery
 {
   std::string mTeam;
   std::string mServes; ///< model or service
   std::span<const PrefixLevel> mLevels;
-  std::uint32_t mBlocks = 0; ///< blocks of the whole prompt
+  std::uint32_t mBlocks = 0; ///< of the whole prompt
 };
 
 /// Settings of a chooser.
 struct ChooserSettings
 {
   ChoicePolicy mPolicy = ChoicePolicy::kNestedGroups;
-  std::size_t mProbes = 2; ///< endpoints asked for their cost
-  /// Endpoints of a group, at least. More than mProbes makes each request ask
-  /// a random part of its group, so that a prefix is computed in all of it.
+  std::size_t mProbes = 2; ///< endpoints probed for their cost
+  /// Minimum size of a group. If it exceeds mProbes, each request probes a
+  /// random subset of its group, so that a prefix ends up computed on all of
+  /// its endpoints.
   std::size_t mMinWidth = kMinGroupWidth;
-  double mTargetLoad = 0.5;     ///< share of an endpoint's time planned for
-  std::uint32_t mMinBlocks = 4; ///< shorter prompts are placed by load alone
-  std::string mZone;            ///< of this router, preferred on near ties
-  std::int64_t mZoneCostMicros = 2000; ///< charged to another zone's endpoint
+  double mTargetLoad = 0.5;     ///< utilization of an endpoint to plan for
+  std::uint32_t mMinBlocks = 4; ///< shorter prompts are placed without probing
+  std::string mZone;            ///< this router's, preferred on near ties
+  std::int64_t mZoneCostMicros = 2000; ///< penalty of an endpoint elsewhere
   DemandSettings mDemand;
 };
 
-/// Names endpoints for a request and learns from what is sent.
+/// Selects endpoints for a request; may adapt to the requests sent before.
 ///
 /// Thread safety: none; owned by one traffic thread.
 class EndpointChooser
@@ -82,7 +84,7 @@
 
   /// Endpoints in order of preference, at most aLimit.
   ///
-  /// @param aUsable  from EndpointTable::Usable
+  /// @param aUsable  result of EndpointTable::Usable
   /// @return empty when aUsable is empty
   virtual std::vector<EndpointHandle> Candidates(
     const ChoiceQuery& aQuery,
@@ -90,29 +92,30 @@
     std::size_t aLimit,
     TimePoint aNow) = 0;
 
-  /// Whether the candidates are to be asked for their cost before one is
-  /// taken; otherwise the first is taken.
+  /// Whether to probe the candidates for their cost and take the cheapest;
+  /// otherwise the first is taken.
   virtual bool ProbesFirst(const ChoiceQuery& aQuery) const = 0;
 
-  /// Notes that a request of some engine time was sent.
+  /// Records that a request was sent that takes some engine time.
   virtual void NoteSent(const ChoiceQuery& aQuery,
                         double aEngineSeconds,
                         TimePoint aNow);
 };
 
-/// Makes the chooser of a policy.
+/// Creates the chooser of a policy.
 ///
-/// @param aTable    outlives the chooser
-/// @param aRouters  outlives the chooser; routers that share the traffic
-/// @param aRandom   outlives the chooser
+/// @param aTable    must outlive the chooser
+/// @param aRouters  must outlive the chooser; number of routers that share the
+///                  traffic
+/// @param aRandom   must outlive the chooser
 std::unique_ptr<EndpointChooser>
 MakeChooser(const ChooserSettings& aSettings,
             const EndpointTable& aTable,
             const std::size_t& aRouters,
             RandomSource& aRandom);
 
-/// Engine time until the first token if an endpoint took a request, as far as
-/// is known without asking it.
+/// Estimated engine time until the first token of a new request at an endpoint,
+/// from its last reported wait and what was sent to it since.
 std::int64_t
 EstimatedWaitMicros(const EndpointEntry& aEntry, TimePoint aNow);
 
--- a/packages/state/include/shuntjunction/state/first_token.h
+++ b/packages/state/include/shuntjunction/state/first_token.h
@@ -4,32 +4,34 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// When a request's first token is expected, and how urgent that makes it.
+/// Estimate of a request's time to first token, and the urgency derived from
+/// it.
 namespace shuntjunction::state {
 
 /// Settings of the estimate.
 struct FirstTokenSettings
 {
-  /// Tokens that an engine reads in a millisecond, before any was observed:
-  /// half of what the slowest known engines read. Too little only makes
-  /// requests count as late, which matters where others wait, and there it is
-  /// learned within a second.
-  double mStartRate = 20.0;
-  double mMinRate = 1.0;       ///< what is observed is bounded by these
-  double mMaxRate = 1000.0;    ///< tokens a millisecond
-  double mLearningShare = 0.1; ///< weight of a new observation
-  /// Shorter prompts take as long as a step of the engine does, whatever they
-  /// hold.
-  std::int64_t mLeastTokens = 2000;
-  /// Share of the objective beyond which a request counts as late. The estimate
-  /// errs to both sides, and one that is put behind although it could have been
-  /// in time loses more than one that keeps its place in vain.
-  double mOnTimeShare = 1.2;
-  /// Levels by which a request is less urgent once it is expected to be late.
-  int mLateLevels = 5;
+  /// Assumed prefill rate before the first observation, in tokens per
+  /// millisecond: half of that of the slowest known engines. Too low a rate
+  /// only makes requests count as late, which matters only where others wait,
+  /// and there the rate is learned within a second.
+  double mInitialRate = 20.0;
+  double mMinRate = 1.0;    ///< observations are clamped to this range
+  double mMaxRate = 1000.0; ///< in tokens per millisecond
+  double mSmoothing = 0.1;  ///< weight of a new observation
+  /// Prompts with fewer tokens are not observed: they take one step of the
+  /// engine, whatever their length.
+  std::int64_t mMinTokens = 2000;
+  /// A request counts as late if its expected time to first token exceeds the
+  /// objective by this factor. The estimate errs to both sides, and demoting a
+  /// request that would have been in time costs more than not demoting one
+  /// that is late anyway.
+  double mLateThreshold = 1.2;
+  /// Urgency levels by which a late request is demoted.
+  int mLateDemotion = 5;
 };
 
-/// How fast engines read prompts, learned from the requests that they served.
+/// Prefill rate of engines, learned from the requests that they served.
 ///
 /// Thread safety: none.
 class PrefillRate
@@ -37,15 +39,15 @@
 public:
   explicit PrefillRate(const FirstTokenSettings& aSettings);
 
-  /// Notes an answer's first token.
+  /// Records the first token of an answer.
   ///
-  /// @param aTokens  that waited before the request, and its own
-  /// @param aTook  from its sending
+  /// @param aTokens  prompt tokens queued ahead of the request, and its own
+  /// @param aTook  time from sending the request to the first token
   void Note(std::int64_t aTokens, Millis aTook);
 
   double TokensPerMilli() const { return mRate; }
 
-  /// How long it takes to read so many tokens.
+  /// Time to prefill a number of tokens.
   Millis TimeOf(std::int64_t aTokens) const;
 
 private:
@@ -53,24 +55,25 @@
   double mRate;
 };
 
-/// What is known of a request when it is to be sent.
-struct FirstTokenAsk
+/// Timing of a request that is about to be sent.
+struct FirstTokenEstimate
 {
   Millis mElapsed{ 0 };   ///< since its arrival
   Millis mExpected{ 0 };  ///< from now to its first token
   Millis mObjective{ 0 }; ///< from its arrival to its first token
-  int mUrgency = 0;       ///< of its team or route
+  int mUrgency = 0;       ///< configured for its team or route
 };
 
-/// The urgency by which an engine shall order a request.
+/// Urgency by which an engine shall order a request.
 ///
-/// When more arrives than engines read, first come, first served makes every
-/// request late, and one that is late takes as long to read as one that is not.
-/// Requests that are expected to miss their objective therefore go behind those
-/// that can still meet it, and are served by what these leave over.
+/// When more prompt tokens arrive than engines can prefill, first come, first
+/// served makes every request late, and prefilling a late request takes as long
+/// as any other. Requests that are expected to miss their objective are
+/// therefore demoted behind those that can still meet it, and are served with
+/// the capacity that is left.
 /// Thread safety: pure.
 int
-EffectiveUrgency(const FirstTokenAsk& aAsk,
+EffectiveUrgency(const FirstTokenEstimate& aEstimate,
                  const FirstTokenSettings& aSettings);
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/handles.h
+++ b/packages/state/include/shuntjunction/state/handles.h
@@ -3,10 +3,10 @@
 #include <cstdint>
 #include <limits>
 
-/// Small typed handles with an invalid value.
+/// Typed handles with an invalid value.
 namespace shuntjunction::state {
 
-/// Names an endpoint within one process; never sent to another.
+/// Identifies an endpoint within one process; never sent to another.
 struct EndpointHandle
 {
   static constexpr std::uint32_t kInvalid =
@@ -14,7 +14,7 @@
 
   std::uint32_t mIndex = kInvalid;
 
-  /// Whether the handle names an endpoint.
+  /// Whether the handle refers to an endpoint.
   constexpr bool IsValid() const { return mIndex != kInvalid; }
 
   constexpr bool operator==(const EndpointHandle&) const = default;
--- a/packages/state/include/shuntjunction/state/late_requests.h
+++ b/packages/state/include/shuntjunction/state/late_requests.h
@@ -4,27 +4,28 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Requests that wait behind all others, and whether one more shall join them.
+/// Late requests at an engine, and whether to send another one there.
 namespace shuntjunction::state {
 
 /// Settings of LateRequests.
 struct LateRequestsSettings
 {
-  /// Share of the objective that the longest waiting may have waited so far for
-  /// another to join: beyond it, what comes in time takes all that is read.
-  double mMostWait = 1.0;
-  /// Refused callers come back after what waits now is read, and up to this
-  /// share of it later, so that they don't come back together.
-  double mReturnSpread = 1.0;
-  Millis mFirstReturn{ 300 }; ///< no earlier than this
+  /// Longest wait of the oldest late request, as a share of the objective, at
+  /// which another is accepted. Beyond it, requests that are in time use up the
+  /// engine's whole prefill capacity.
+  double mMaxWait = 1.0;
+  /// The retry delay of a refused caller is extended by a random share of up to
+  /// this factor, so that callers don't retry all at once.
+  double mRetryJitter = 1.0;
+  Millis mMinRetryDelay{ 300 }; ///< before jitter
 };
 
-/// The requests at one engine that were sent behind those that can still meet
-/// their objective, see UrgencyToSend, and have no first token yet.
+/// Requests at one engine that were demoted as late, see EffectiveUrgency, and
+/// have no first token yet.
 ///
-/// They are served from what the others leave over. When that is nothing, one
-/// more would wait until its deadline, in vain, and its caller could come back
-/// no more. Refused at once, it can.
+/// They are served with the capacity that other requests leave. If none is
+/// left, another late request would only wait until its deadline, with no time
+/// left for a retry. Its caller can retry if the request is refused at once.
 ///
 /// Thread safety: none.
 class LateRequests
@@ -34,21 +35,21 @@
 
   void Add(TimePoint aSentAt);
 
-  /// @pre aSentAt was added and not removed since.
+  /// @pre aSentAt was added and has not been removed since
   void Remove(TimePoint aSentAt);
 
-  /// Whether another would wait in vain.
+  /// Whether another late request is unlikely to be served before its deadline.
   bool IsStalled(TimePoint aNow, Millis aObjective) const;
 
-  /// When a refused caller shall come back.
+  /// Delay after which a refused caller should retry.
   ///
-  /// @param aExpected  when what waits now is read
-  /// @param aDraw  0 to 1
+  /// @param aExpected  time until the queued tokens are prefilled
+  /// @param aDraw  random number from 0 to 1
   Millis RetryDelay(Millis aExpected, double aDraw) const;
 
 private:
   LateRequestsSettings mSettings;
-  std::multiset<TimePoint> mSent;
+  std::multiset<TimePoint> mSentTimes;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/load_schedule.h
+++ b/packages/state/include/shuntjunction/state/load_schedule.h
@@ -8,35 +8,39 @@
 
 #include "shuntjunction/state/relay_config.h"
 
-/// When each engine of a service loads new weights, so that few do at once.
+/// Schedule by which the engines of a service load new weights, so that only a
+/// few load at a time.
 namespace shuntjunction::state {
 
-/// Settings of the turns.
+/// Settings of the schedule.
 struct LoadScheduleSettings
 {
-  /// Share of a service's engines that load at once; one at least. Loads share
-  /// the way to the weights: two of nine take 0.8 s, three 1.25 s, so that more
-  /// at once end no earlier and only close more engines.
-  double mShareAtOnce = 0.2;
-  Millis mTurn{ 950 }; ///< from one group's turn to the next
-  Millis mDrainLead{
-    250
-  };                   ///< an engine gets no new work so long before its turn
-  Millis mLead{ 250 }; ///< from a version's becoming known to the first turn
+  /// Share of a service's engines that load at a time; at least one does.
+  /// Concurrent loads share the bandwidth to the weights: of nine engines, two
+  /// at a time take 0.8 s and three 1.25 s. Larger groups finish no earlier and
+  /// only take more engines out of service.
+  double mMaxLoadingShare = 0.2;
+  /// Time from the start of one group's load to that of the next.
+  Millis mGroupInterval{ 950 };
+  /// Time before its load from which an engine gets no new requests.
+  Millis mDrainLead{ 250 };
+  /// Time from the announcement of a version to the first group's load.
+  Millis mInitialDelay{ 250 };
 };
 
-/// The engines of a model that stay, in the order in which they load a version.
+/// Ids of a model's engines that are not leaving, in the order in which they
+/// load a version.
 ///
-/// Those that missed the version before go first, so that none is passed over
-/// for ever while versions follow each other quickly.
+/// Engines that missed the previous version go first, so that none is skipped
+/// forever while versions follow each other quickly.
 /// Thread safety: pure.
 std::vector<std::string>
 WeightLoadSequence(const std::vector<EndpointInfo>& aEndpoints,
                    const LatestWeights& aWeights);
 
-/// Start of an engine's turn, counted from when the version became known.
+/// Start of an engine's load, counted from the announcement of the version.
 ///
-/// @return empty when the engine is not in the order
+/// @return empty if the engine is not in aOrder
 /// Thread safety: pure.
 std::optional<Millis>
 LoadStartOf(const std::vector<std::string>& aOrder,
--- a/packages/state/include/shuntjunction/state/overload_guard.h
+++ b/packages/state/include/shuntjunction/state/overload_guard.h
@@ -2,29 +2,29 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Whether a process gets more work than it can answer.
+/// Detection of overload of this process.
 namespace shuntjunction::state {
 
 /// Settings of an OverloadGuard.
 struct OverloadSettings
 {
-  Millis mCheckInterval{ 20 }; ///< between two looks at how late the process is
-  /// A look that comes so late found work before it that callers wait for: half
-  /// of the shortest objectives. A machine that pauses for the rest of a tenth
-  /// of a second, as some quotas do, is not that late.
-  Millis mLate{ 150 };
-  Millis mOnTime{ 50 }; ///< a look that comes by then ends the overload
-  /// Late looks in a row before work is refused: one alone is a pause of the
-  /// machine, after which the process is on time again.
-  int mLateLooks = 3;
-  /// The same for the most urgent work, which is refused last.
-  int mLateLooksUrgent = 8;
+  Millis mCheckInterval{ 20 }; ///< between two checks of the timer's delay
+  /// A check delayed by this much is late: half of the shortest objectives has
+  /// passed in the process's queue. Must exceed the pauses of CPU quotas, which
+  /// may last for the rest of a 100 ms period.
+  Millis mLateDelay{ 150 };
+  Millis mOnTimeDelay{ 50 }; ///< a check delayed by less ends the overload
+  /// Consecutive late checks before requests are refused: a single one is a
+  /// pause of the machine, after which the process is on time again.
+  int mLateChecks = 3;
+  /// The same for the most urgent requests, which are refused last.
+  int mLateChecksUrgent = 8;
 };
 
-/// Tells from how late a process's own timer runs whether it is overloaded.
+/// Detects overload of the process by the delay of a periodic timer.
 ///
-/// All ready work waits in one queue of the process, so that a timer's delay is
-/// what a request that arrives now waits before anybody looks at it.
+/// All ready work waits in one queue of the process, so the timer's delay is
+/// the time that an arriving request waits before it is handled.
 /// Thread safety: none; owned by the traffic thread.
 class OverloadGuard
 {
@@ -34,32 +34,33 @@
   {
   }
 
-  /// Takes by how much a look came late.
+  /// Records the delay of a check. A delay between mOnTimeDelay and mLateDelay
+  /// changes nothing.
   void NoteTimerDelay(Millis aDelay)
   {
-    if (aDelay >= mSettings.mLate) {
-      ++mLateLooks;
-    } else if (aDelay < mSettings.mOnTime) {
-      mLateLooks = 0;
+    if (aDelay >= mSettings.mLateDelay) {
+      ++mLateChecks;
+    } else if (aDelay < mSettings.mOnTimeDelay) {
+      mLateChecks = 0;
     }
   }
 
-  /// Whether new work of an urgency must be refused; 0 is the most urgent.
+  /// Whether new requests of an urgency must be refused; 0 is the most urgent.
   bool MustRefuse(int aUrgency) const
   {
-    const int most =
-      aUrgency == 0 ? mSettings.mLateLooksUrgent : mSettings.mLateLooks;
-    return mLateLooks >= most;
+    const int limit =
+      aUrgency == 0 ? mSettings.mLateChecksUrgent : mSettings.mLateChecks;
+    return mLateChecks >= limit;
   }
 
-  /// Whether it is overloaded at all.
-  bool IsOverloaded() const { return mLateLooks >= mSettings.mLateLooks; }
+  /// Whether all requests but the most urgent must be refused.
+  bool IsOverloaded() const { return mLateChecks >= mSettings.mLateChecks; }
 
   const OverloadSettings& Settings() const { return mSettings; }
 
 private:
   OverloadSettings mSettings;
-  int mLateLooks = 0; ///< in a row
+  int mLateChecks = 0; ///< since the last check that was on time
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/part_record_table.h
+++ b/packages/state/include/shuntjunction/state/part_record_table.h
@@ -9,23 +9,23 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Where cached parts of prompts are likely to be found.
+/// Recent use of prompt parts: which were prefilled, where and when.
 namespace shuntjunction::state {
 
-/// What is known of one part under one salt.
+/// Recent use of one part under one salt.
 struct PartRecord
 {
-  TimePoint mServedAt; ///< when its answer began; epoch while none did
-  TimePoint
-    mPrefillStartedAt; ///< since when it is being read; epoch: it is not
-  TimePoint mSavedAt;  ///< when it was last handed to the part store
-  std::string mPrefillEndpoint; ///< id of the endpoint that reads it, or did
+  TimePoint mServedAt;          ///< start of the last answer; epoch: none
+  TimePoint mPrefillStartedAt;  ///< start of the last prefill; epoch: none
+  TimePoint mSavedAt;           ///< when it was last sent to a KV store
+  std::string mPrefillEndpoint; ///< id of the endpoint that prefilled it last
 
-  /// Whether it was begun to be read and no answer has begun since.
+  /// Whether a prefill has started and no answer has started since.
   bool IsPrefilling() const { return mServedAt < mPrefillStartedAt; }
 };
 
-/// Remembers parts, the least recently used forgotten first.
+/// Records of the most recently used parts; the least recently used is evicted
+/// first.
 ///
 /// Thread safety: none; owned by one thread.
 class PartRecordTable
@@ -36,13 +36,13 @@
   {
   }
 
-  /// The record of a part by its PartName, made when it is new.
+  /// The record of a part by its PartName; created if there is none.
   PartRecord& At(std::string aName);
 
-  /// Takes that an endpoint reads nothing any more: its life is over.
+  /// Clears the prefills of an endpoint whose process has ended.
   void ForgetPrefillsOf(std::string_view aEndpoint);
 
-  /// Records that are kept.
+  /// Number of records.
   std::size_t Size() const { return mOrder.size(); }
 
 private:
--- a/packages/state/include/shuntjunction/state/prefix_chain.h
+++ b/packages/state/include/shuntjunction/state/prefix_chain.h
@@ -5,19 +5,19 @@
 #include <string_view>
 #include <vector>
 
-/// Identity of prompt prefixes.
+/// Hashes that identify prompt prefixes.
 namespace shuntjunction::state {
 
 /// Bytes of prompt text in one block.
 inline constexpr std::size_t kBlockBytes = 256;
 
-/// Most prompt levels that placement looks at.
+/// Upper limit of the prompt levels considered by placement.
 inline constexpr std::size_t kMaxLevels = 4;
 
-/// Hash of a prefix: all blocks from the start of the prompt.
+/// Hash of all blocks from the start of the prompt to the end of one of them.
 using PrefixHash = std::uint64_t;
 
-/// What separates one cache from another.
+/// Prefixes are shared only within one scope.
 struct CacheScope
 {
   std::string mTeam;
@@ -25,7 +25,7 @@
   std::uint32_t mWeightsVersion = 0;
 };
 
-/// One level of a prompt: where it ends and the hash up to there.
+/// One level of a prompt: its end, and the hash of the prompt up to there.
 struct PrefixLevel
 {
   PrefixHash mHash = 0;
@@ -34,29 +34,29 @@
   bool operator==(const PrefixLevel&) const = default;
 };
 
-/// The chain of a prompt's block hashes, salted by its scope.
+/// The chain of a prompt's block hashes, seeded with its scope.
 ///
-/// Two prompts of different teams, models or weights versions have different
-/// chains although their texts are equal to the byte.
+/// Prompts of different teams, models or weights versions have different chains
+/// even if their texts are byte-identical.
 struct PrefixChain
 {
   std::vector<PrefixHash> mBlocks;
   std::vector<PrefixLevel> mLevels; ///< outermost first, at most kMaxLevels
 };
 
-/// Builds the chain of a prompt given as the texts of its levels.
+/// Builds the chain of a prompt from the texts of its levels.
 ///
-/// A level that adds no whole block is left out of mLevels; further levels
-/// than kMaxLevels are joined with the last one.
+/// A level that adds no whole block is omitted from mLevels; levels beyond
+/// kMaxLevels are merged into the last one.
 /// Thread safety: pure.
 PrefixChain
 BuildPrefixChain(const CacheScope& aScope,
                  const std::vector<std::string>& aLevels);
 
-/// The salt that an engine is handed with a request of this scope, as hex.
+/// The cache salt sent to an engine with requests of a scope, in hex.
 ///
-/// A keyed cryptographic hash (HMAC-SHA-256, 128 bits kept): no two scopes
-/// share a salt, and no team can guess that of another.
+/// A keyed cryptographic hash (HMAC-SHA-256 truncated to 128 bits): no two
+/// scopes share a salt, and no team can guess another's.
 /// Thread safety: pure.
 std::string
 EngineSalt(const CacheScope& aScope, std::string_view aSecret);
--- a/packages/state/include/shuntjunction/state/relay_choice.h
+++ b/packages/state/include/shuntjunction/state/relay_choice.h
@@ -9,117 +9,125 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/relay_config.h"
 
-/// Which endpoint a relayed request is sent to.
+/// Selection of the endpoint that a relayed request is sent to.
 namespace shuntjunction::state {
 
-/// A part of a prompt, named by the caller.
+/// A cacheable part of a prompt, identified by the caller.
 struct PromptPart
 {
   std::string mId;
   std::int64_t mTokens = 0;
 };
 
-/// One endpoint as the choice sees it.
+/// Properties of an endpoint that the choice depends on.
 struct RelayCandidate
 {
   std::uint64_t mNameHash = 0; ///< PlacementHash of its id
   bool mIsSameZone = false;
-  bool mIsSuspect = false;    ///< failed lately: taken only if none is better
-  bool mIsLimited = false;    ///< names a rate: taken if no other has room
+  bool mIsSuspect = false;    ///< failed recently: taken as a last resort
+  bool mIsLimited = false;    ///< has a rate limit: taken if no other has room
   std::uint64_t mVersion = 0; ///< of the weights; 0 for a plain service
-  std::int64_t mRunning = 0;  ///< requests there, as far as known
-  std::int64_t mSlots = 1;    ///< that it works on at once
-  std::int64_t mQueuedTokens = 0; ///< prompt tokens that wait to be read there
-  bool mHoldsPart = false;        ///< keeps the prompt's last shared part
-  std::int64_t mSuspectRequests =
-    0; ///< requests there under which others crashed
+  std::int64_t mRunning = 0;  ///< requests known to be there
+  std::int64_t mSlots = 1;    ///< requests processed concurrently
+  std::int64_t mQueuedTokens = 0; ///< prompt tokens waiting for prefill
+  bool mHoldsPart = false;        ///< has the prompt's last shared part cached
+  /// Requests there that are suspected of having crashed another endpoint.
+  std::int64_t mSuspectRequests = 0;
 };
 
 /// Settings of the choice.
 struct RelayChoiceSettings
 {
-  /// Waiting tokens by which the first endpoint of a prompt's order may exceed
-  /// the least loaded before that one takes it. With more, engines read for so
-  /// long without a break that streams beside them pause; with less, each part
-  /// is spread over more engines, which forget it sooner.
+  /// Queued tokens by which the preferred endpoint of a prompt may exceed the
+  /// least loaded candidate before the latter is taken. With a higher limit,
+  /// engines prefill for so long without a break that their streams pause; with
+  /// a lower one, each part is spread over more engines, which evict it sooner.
   std::int64_t mMaxLeadTokens = 3000;
-  /// Endpoints of a prompt's order that are weighed, two at least: with more, a
-  /// prompt finds one that reads nothing while many arrive at once.
+  /// Endpoints of a prompt's rendezvous order to consider, at least two: with
+  /// more, it is likelier that one has no prefill queued while many prompts
+  /// arrive at once.
   std::size_t mPartCandidates = 6;
-  /// Prompts that share less go where little waits: reading it again takes a
-  /// few milliseconds.
+  /// Prompts with fewer shared tokens are placed by load: a repeated prefill
+  /// takes a few milliseconds.
   std::int64_t mMinSharedTokens = 1000;
-  /// Requests by which the engine that such a prompt's parts lead to may exceed
-  /// the least loaded: together they take some ten milliseconds.
-  std::int64_t mSmallPartLead = 4;
-  /// Requests by which an endpoint of the own zone may exceed another's.
-  std::int64_t mZoneLead = 2;
-  /// Waiting tokens up to which an endpoint has room where others name rates.
+  /// Requests by which the preferred endpoint of such a prompt may exceed the
+  /// least loaded one: together they take some ten milliseconds.
+  std::int64_t mMaxSmallPartLead = 4;
+  /// Requests by which an endpoint in the local zone may exceed one elsewhere.
+  std::int64_t mMaxZoneLead = 2;
+  /// Queued tokens up to which an endpoint without a rate limit has room, so
+  /// that it is chosen before those with a limit.
   std::int64_t mRoomTokens = 16000;
-  /// Waiting tokens that weigh as much as a request that runs: a token of its
-  /// answer takes as long as a piece of prompt that is read beside it.
-  std::int64_t mTokensOfRunning = 1000;
+  /// Queued tokens that count as much as a running request: generating a token
+  /// takes as long as the chunk of prefill that runs in the same step.
+  std::int64_t mTokensPerRequest = 1000;
 };
 
-/// Chooses by rendezvous of a prompt's shared part: of the first two the one
-/// that keeps the part, unless much less waits at another near the front.
+/// Chooses by the rendezvous order of a prompt's shared part.
 ///
-/// Guards the streams beside: an engine that reads prompts without a break
-/// makes each token of its streams wait for a piece of reading.
+/// Prefers the first endpoint of the order, or the second if only that has the
+/// part cached, and takes another of the first mPartCandidates if that is much
+/// less loaded. This protects streams: on an engine that prefills without a
+/// break, each token of a stream waits for a chunk of prefill.
 ///
-/// Older weights are no reason to pass an engine over: while a new version is
-/// loaded, the few that have it cannot carry all work.
+/// Engines with older weights are not passed over: while a new version is being
+/// loaded, the few that have it cannot take the whole load.
 ///
 /// @param aKey  hash of the shared part and its scope
-/// @return index of aCandidates; empty when there are none
+/// @return index into aCandidates; empty if there are none
 /// Thread safety: pure.
 std::optional<std::size_t>
 ChooseByPart(std::span<const RelayCandidate> aCandidates,
              std::uint64_t aKey,
              const RelayChoiceSettings& aSettings);
 
-/// Chooses the least loaded by requests that run and tokens that wait, the own
-/// zone first among near equals.
+/// Chooses the endpoint with the fewest running requests and queued tokens,
+/// preferring the local zone among near equals.
 ///
-/// A prompt whose parts are small goes to the first of its order in the own
-/// zone unless others are clearly less loaded: anywhere else its parts are read
-/// again, 200 tokens for each of half of all requests.
+/// A prompt with small shared parts goes to the first endpoint of its
+/// rendezvous order in the local zone unless others are clearly less loaded:
+/// elsewhere the parts would be prefilled again, 200 tokens in each of half of
+/// all requests.
 ///
 /// @param aKey  hash of the shared part and its scope; empty: there is none
 /// @param aRandom  breaks ties
-/// @return index of aCandidates; empty when there are none
-/// Thread safety: pure but for aRandom.
+/// @return index into aCandidates; empty if there are none
+/// Thread safety: pure apart from aRandom.
 std::optional<std::size_t>
 ChooseByLoad(std::span<const RelayCandidate> aCandidates,
              std::optional<std::uint64_t> aKey,
              const RelayChoiceSettings& aSettings,
              RandomSource& aRandom);
 
-/// Chooses where the fewest other suspects run, among these by rendezvous of
-/// the request alone, whatever its prompt and the endpoints' load.
+/// Chooses an endpoint for a request that ran on an endpoint when that crashed,
+/// and so may have caused the crash.
 ///
-/// Of the requests that ran where an endpoint crashed, one may have crashed it.
-/// By their prompts they would stay together until three endpoints crashed, and
-/// all be taken for it. Apart, the next crash tells which of them it is.
+/// Takes the endpoint with the fewest other such requests, and among equals
+/// the first in the rendezvous order of the request, whatever its prompt and
+/// the endpoints' load. Placed by their prompts, the requests of one crash
+/// would meet again until three endpoints had crashed, and all of them would be
+/// blamed. If they run on separate endpoints, the next crash identifies the
+/// request that causes it.
 ///
 /// @param aKey  hash of the request
-/// @return index of aCandidates; empty when there are none
+/// @return index into aCandidates; empty if there are none
 /// Thread safety: pure.
 std::optional<std::size_t>
 ChooseForSuspect(std::span<const RelayCandidate> aCandidates,
                  std::uint64_t aKey,
                  const RelayChoiceSettings& aSettings);
 
-/// The part store to which an engine saves a part: one of its own zone, since a
-/// move between zones holds up the store's link for twice as long; among
-/// several by rendezvous, so that every relay computes the same, each store
-/// keeps its share, and one that goes moves only the parts that it kept.
+/// The KV store to which an engine saves a part.
 ///
-/// One store for all parts would forget most of them before their next use.
+/// Prefers stores in the engine's zone: a transfer between zones occupies the
+/// store's link for twice as long. Among these it is the first in the part's
+/// rendezvous order, so that all relays choose the same, each store gets an
+/// equal share, and removing a store moves only the parts that it kept. A
+/// single store for all parts would evict most of them before their next use.
 ///
 /// @param aPartName  see PartName
-/// @param aZone  of the engine; where it has no store, all are as good
-/// @return null when there is no store
+/// @param aZone  of the engine; if it has no store, all stores are considered
+/// @return null if there is no store
 /// Thread safety: pure.
 const KvStoreRule*
 StoreOfPart(std::span<const KvStoreRule> aStores,
--- a/packages/state/include/shuntjunction/state/rendezvous.h
+++ b/packages/state/include/shuntjunction/state/rendezvous.h
@@ -9,7 +9,7 @@
 /// Rendezvous (highest random weight) order of endpoints for a key.
 namespace shuntjunction::state {
 
-/// One endpoint as rendezvous hashing sees it.
+/// An endpoint to be ordered.
 struct RendezvousMember
 {
   EndpointHandle mHandle;
@@ -17,10 +17,11 @@
   double mWeight = 1.0;        ///< relative capacity, above zero
 };
 
-/// The first aCount members for a key, best first.
+/// The first aCount members in the order of a key.
 ///
-/// Every process that knows the same members gets the same order; a member
-/// that goes or comes moves only the keys that it held or takes.
+/// The order depends on the key and the members only, so it is the same in
+/// every process. Removing a member moves only the keys that it came first for,
+/// and adding one moves only the keys that it takes over.
 /// Thread safety: pure.
 std::vector<RendezvousMember>
 RendezvousOrder(std::span<const RendezvousMember> aMembers,
--- a/packages/state/include/shuntjunction/state/request_digest.h
+++ b/packages/state/include/shuntjunction/state/request_digest.h
@@ -5,10 +5,11 @@
 #include <string>
 #include <string_view>
 
-/// Which requests are the same, whatever id each try of them has.
+/// Recognizes repeated requests by their content, whatever the id of each
+/// attempt.
 namespace shuntjunction::state {
 
-/// What makes a request the same when it comes again.
+/// The fields in which repeated requests are equal.
 struct RequestContent
 {
   std::string_view mMethod;
@@ -18,24 +19,24 @@
   std::string_view mBody;
 };
 
-/// Names the content of a request.
+/// Identifies the content of a request.
 ///
-/// A cryptographic digest, for what is believed of one request may get another
-/// refused: nobody can make one whose digest is that of somebody else's.
+/// The digest is cryptographic: a request may be refused because of what
+/// another with the same digest did, so nobody may be able to craft a request
+/// with the digest of somebody else's.
 /// Thread safety: a value.
 class RequestDigest
 {
 public:
-  /// Of no request.
+  /// Creates an empty digest, which is that of no request.
   RequestDigest() = default;
 
-  /// The digest of a request.
   explicit RequestDigest(const RequestContent& aContent);
 
-  /// Reads what Text wrote; empty when that is something else.
+  /// Parses the result of Text; empty if aText is not a digest.
   static std::optional<RequestDigest> Parse(std::string_view aText);
 
-  /// 32 hex digits.
+  /// 32 hex digits; empty for an empty digest.
   const std::string& Text() const { return mText; }
 
   auto operator<=>(const RequestDigest&) const = default;
--- a/packages/state/include/shuntjunction/state/request_lifecycle.h
+++ b/packages/state/include/shuntjunction/state/request_lifecycle.h
@@ -5,15 +5,16 @@
 
 #include "shuntjunction/state/enum_names.h"
 
-/// What a router may still do with a request, and what it may say of it.
+/// Lifecycle of a request in its router: whether it may be sent, and whether it
+/// may have run.
 namespace shuntjunction::state {
 
-/// What running a request twice would mean.
+/// Whether a request may be run twice.
 enum class Repeatability : std::uint8_t
 {
-  kRepeatable, ///< running it again costs time only
-  kClaimed,    ///< at most once, guarded by a claim in the platform
-  kUnclaimed,  ///< not safe to repeat, and nothing guards it
+  kRepeatable, ///< idempotent: running it again only costs time
+  kClaimed,    ///< at most once, ensured by a claim in the platform
+  kUnclaimed,  ///< not safe to repeat, and not protected by a claim
 };
 
 /// Names of Repeatability.
@@ -24,12 +25,12 @@
 /// State of a request in its router.
 enum class RequestState : std::uint8_t
 {
-  kUnsent,    ///< no endpoint holds it, and none may have run it
-  kOffered,   ///< sent to a companion that has not answered
-  kRunning,   ///< a companion said that its backend has it
-  kUncertain, ///< an endpoint may have run it and no more is known
+  kUnsent,    ///< no endpoint has it or may have run it
+  kOffered,   ///< sent to a companion that has not replied
+  kRunning,   ///< handed over to the backend by a companion
+  kUncertain, ///< an endpoint may have run it
   kComplete,  ///< the whole answer was received
-  kSettled,   ///< its end is known, and it is not an answer
+  kSettled,   ///< ended with a known outcome other than an answer
 };
 
 /// Names of RequestState.
@@ -43,8 +44,8 @@
 ///     offered --started--> running --finished--> complete
 ///     offered, running --lost--> uncertain --offered--> offered
 ///
-/// Once a request was uncertain it is never said to be not run, whatever a
-/// later attempt's refusal says.
+/// A request that was uncertain once never becomes unsent again: the refusal of
+/// a later attempt does not prove that no earlier one ran.
 /// Thread safety: none; owned by the request.
 class RequestLifecycle
 {
@@ -56,27 +57,27 @@
 
   /// The request was sent to a companion.
   void Offered();
-  /// The companion refused it before it was handed over.
+  /// The companion refused it before handing it over to its backend.
   void Refused();
-  /// The companion handed it over.
+  /// The companion handed it over to its backend.
   void Started();
-  /// The link or the backend failed, or an answer did not come in time.
+  /// The link or the backend failed, or an answer timed out.
   void Lost();
   /// The whole answer was received.
   void Finished();
-  /// Its end is known: its key is taken or was used with another body.
+  /// It was rejected: its key is in use or was used with another body.
   void Settled();
 
   /// Whether it may be sent to an endpoint now.
   bool MayOffer() const;
 
-  /// Whether an endpoint was lost to which it had been sent.
+  /// Whether Lost was called after it had been sent.
   bool WasLost() const;
 
   /// Whether it is certain that no endpoint ran it.
   bool IsNotRun() const;
 
-  /// Present state.
+  /// Current state.
   RequestState State() const;
 
 private:
--- a/packages/state/include/shuntjunction/state/request_types.h
+++ b/packages/state/include/shuntjunction/state/request_types.h
@@ -6,10 +6,10 @@
 
 #include "shuntjunction/state/enum_names.h"
 
-/// Words that every layer uses of a request.
+/// Enumerations about requests that all layers share.
 namespace shuntjunction::state {
 
-/// Class of a request; a lower value goes first.
+/// Class of a request; lower values are served first.
 enum class Priority : std::uint8_t
 {
   kUrgent,
@@ -17,7 +17,7 @@
   kOrdinary,
 };
 
-/// How many classes there are.
+/// Number of classes.
 inline constexpr std::size_t kPriorityCount = 3;
 
 /// Names of Priority.
@@ -25,12 +25,12 @@
   { "urgent", "priority", "ordinary" }
 };
 
-/// What a request asks of its endpoint.
+/// Kind of service that a request needs.
 enum class RequestKind : std::uint8_t
 {
   kChat,       ///< chat completion by a model engine
   kCompletion, ///< text completion by a model engine
-  kService,    ///< a call of a plain service
+  kService,    ///< call of a plain service
 };
 
 /// Names of RequestKind.
@@ -38,17 +38,17 @@
   { "chat", "completion", "service" }
 };
 
-/// Why a companion refused a request; nothing was run.
+/// Why a companion refused a request; no part of it has run.
 enum class RefusalReason : std::uint8_t
 {
   kQueueFull,    ///< the queue of its class is full
-  kTooLate,      ///< the deadline passes before its turn
+  kTooLate,      ///< it would miss its deadline
   kLeaving,      ///< the endpoint is leaving
   kWrongModel,   ///< the endpoint serves another model or weights version
   kEngineDown,   ///< the engine does not answer
-  kPlatformDown, ///< a claim could not be settled
-  kShed,         ///< more important work took its place
-  kStaleConfig,  ///< the companion has not yet got the request's team
+  kPlatformDown, ///< its claim could not be decided
+  kShed,         ///< removed from a full queue for one of a higher class
+  kStaleConfig,  ///< the companion's configuration lacks the request's team
 };
 
 /// Names of RefusalReason.
@@ -63,12 +63,12 @@
     "stale-config" }
 };
 
-/// What is known of a request that failed after it was handed over.
+/// Whether a failed request has run.
 enum class RunState : std::uint8_t
 {
   kNotRun,       ///< it never reached an engine or a service
   kUnknown,      ///< it may have run
-  kAlreadyTaken, ///< an earlier arrival of its key holds the claim
+  kAlreadyTaken, ///< an earlier request with its key holds the claim
   kKeyReused,    ///< its key was used before with another body
 };
 
--- a/packages/state/include/shuntjunction/state/stream_gate.h
+++ b/packages/state/include/shuntjunction/state/stream_gate.h
@@ -4,19 +4,20 @@
 
 #include "shuntjunction/state/block_index.h"
 
-/// Lets each token of a stream through once and in order.
+/// Filter that passes each token of a stream once and in order.
 namespace shuntjunction::state {
 
-/// One try of a request at one endpoint.
+/// One attempt to run a request on one endpoint.
 struct AttemptId
 {
   std::uint32_t mNumber = 0;
-  Incarnation mIncarnation = 0; ///< of the engine that answers; 0 until known
+  Incarnation mIncarnation = 0; ///< of the answering engine; 0 until known
 
   bool operator==(const AttemptId&) const = default;
 };
 
-/// Guards the caller's stream against late, crossed, doubled and lost tokens.
+/// Protects the caller's stream against late, reordered, duplicate and lost
+/// tokens.
 ///
 /// Thread safety: none; owned by the request.
 class StreamGate
@@ -25,18 +26,20 @@
   /// What to do with a frame of tokens.
   enum class Verdict : std::uint8_t
   {
-    kDeliver, ///< pass it on
-    kDrop,    ///< of another attempt or seen before: drop and count it
-    kGap,     ///< tokens are missing before it: the attempt has failed
+    kDeliver, ///< forward it to the caller
+    kDrop,    ///< of another attempt or a duplicate: drop and count it
+    kGap,     ///< tokens before it are missing: the attempt has failed
   };
 
   /// Opens the next attempt; frames of all others are dropped from now on.
+  ///
+  /// @return the attempt's number
   std::uint32_t OpenAttempt();
 
-  /// Notes the life of the engine that accepted the open attempt.
+  /// Sets the incarnation of the engine that accepted the open attempt.
   void Bind(Incarnation aIncarnation) { mOpen.mIncarnation = aIncarnation; }
 
-  /// Closes the open attempt; nothing is let through until the next.
+  /// Closes the open attempt; all frames are dropped until the next is opened.
   void CloseAttempt() { mIsOpen = false; }
 
   /// Whether a frame belongs to the open attempt.
@@ -45,18 +48,19 @@
     return mIsOpen && aAttempt == mOpen;
   }
 
-  /// Judges one frame of aCount tokens that begins at aOffset.
+  /// Decides about a frame of aCount tokens that starts at token aOffset of the
+  /// stream.
   Verdict Offer(const AttemptId& aAttempt,
                 std::uint32_t aOffset,
                 std::uint32_t aCount);
 
-  /// Whether an end after aTotal tokens completes the stream.
+  /// Whether an attempt that ends after aTotal tokens completes the stream.
   bool Completes(const AttemptId& aAttempt, std::uint32_t aTotal) const
   {
     return Matches(aAttempt) && aTotal == mDelivered;
   }
 
-  /// Tokens let through so far: where the next attempt resumes.
+  /// Number of tokens delivered so far, at which the next attempt resumes.
   std::uint32_t Delivered() const { return mDelivered; }
 
   /// Number of the open attempt; zero before the first.
--- a/packages/state/include/shuntjunction/state/waiting_tokens.h
+++ b/packages/state/include/shuntjunction/state/waiting_tokens.h
@@ -6,13 +6,13 @@
 #include <cstdint>
 #include <numeric>
 
-/// Prompt tokens that wait to be read at an engine, by urgency.
+/// Prompt tokens that wait for prefill at an engine, by urgency.
 namespace shuntjunction::state {
 
-/// Levels of urgency that engines know; 0 goes first.
+/// Number of urgency levels of engines; 0 is served first.
 inline constexpr int kUrgencyLevels = 10;
 
-/// Counts of waiting tokens, one a level.
+/// Number of waiting tokens per urgency level.
 ///
 /// Thread safety: none.
 class WaitingTokens
@@ -22,31 +22,32 @@
 
   WaitingTokens() = default;
 
-  /// @param aLevels  as a peer told them; absurd ones are bounded
+  /// @param aLevels  as reported by a peer; clamped to plausible values
   explicit WaitingTokens(const Levels& aLevels)
   {
     std::transform(aLevels.begin(),
                    aLevels.end(),
                    mLevels.begin(),
                    [](std::int64_t aTokens) {
-                     return std::clamp<std::int64_t>(aTokens, 0, kMostTokens);
+                     return std::clamp<std::int64_t>(
+                       aTokens, 0, kMaxTokensPerLevel);
                    });
   }
 
-  /// Counts tokens that begin to wait.
+  /// Adds tokens that start to wait.
   void Add(int aUrgency, std::int64_t aTokens) { At(aUrgency) += aTokens; }
 
-  /// Takes back tokens that were added.
+  /// Removes tokens that were added; a level never falls below zero.
   void Remove(int aUrgency, std::int64_t aTokens)
   {
     auto& level = At(aUrgency);
     level = std::max<std::int64_t>(0, level - aTokens);
   }
 
-  /// Tokens that are read before those of a new request of an urgency.
+  /// Tokens that are prefilled before those of a new request of an urgency.
   std::int64_t AheadOf(int aUrgency) const
   {
-    const auto last = mLevels.begin() + Bounded(aUrgency) + 1;
+    const auto last = mLevels.begin() + ClampLevel(aUrgency) + 1;
     return std::accumulate(mLevels.begin(), last, std::int64_t{ 0 });
   }
 
@@ -73,17 +74,18 @@
   bool operator==(const WaitingTokens&) const = default;
 
 private:
-  /// No engine has minutes of reading before it: more is a peer's mistake.
-  static constexpr std::int64_t kMostTokens = 10'000'000;
+  /// Takes minutes to prefill, which no engine has queued: a higher count is an
+  /// error of the peer.
+  static constexpr std::int64_t kMaxTokensPerLevel = 10'000'000;
 
-  static int Bounded(int aUrgency)
+  static int ClampLevel(int aUrgency)
   {
     return std::clamp(aUrgency, 0, kUrgencyLevels - 1);
   }
 
   std::int64_t& At(int aUrgency)
   {
-    return mLevels[static_cast<std::size_t>(Bounded(aUrgency))];
+    return mLevels[static_cast<std::size_t>(ClampLevel(aUrgency))];
   }
 
   Levels mLevels{};
--- a/packages/state/include/shuntjunction/state/warming.h
+++ b/packages/state/include/shuntjunction/state/warming.h
@@ -9,35 +9,37 @@
 #include "shuntjunction/state/config_store.h"
 #include "shuntjunction/state/endpoint_table.h"
 
-/// Which shared prefixes an endpoint computes ahead of an event's start.
+/// Cache warming: which shared prefixes an endpoint computes before an event
+/// starts.
 namespace shuntjunction::state {
 
-/// Time before a start in which its prefixes are warmed.
+/// How long before an event's start its prefixes are warmed.
 inline constexpr Millis kWarmLead{ 60000 };
 
-/// A prefix to be computed before it is asked for.
+/// A prefix to compute before requests need it.
 struct WarmTask
 {
   std::string mTeam;
   std::string mModel;
-  std::vector<std::string> mSharedText; ///< contents of the outer levels
+  std::vector<std::string> mSharedText; ///< text of each outer prompt level
   Millis mUntilStart{ 0 };
 
-  /// The texts of its prompt levels, as a caller's messages give them.
+  /// The prompt levels in the form in which callers' messages yield them.
   std::vector<std::string> Levels() const;
 };
 
-/// Time until the next start "HH:MM" (UTC) after a moment.
+/// Time from aWallMillis until the next start at "HH:MM" (UTC).
 ///
-/// @pre  aStart is a time of day, as configuration objects are checked to hold
+/// @pre aStart is a valid time of day, which configuration objects are checked
+///      for
 Millis
 UntilStart(std::string_view aStart, std::int64_t aWallMillis);
 
-/// What one endpoint is to warm now.
+/// Prefixes that one endpoint should warm now.
 ///
-/// A pure function of the configuration, the instances and the time: all
-/// companions that know the same agree who warms what, without a message. The
-/// endpoints are those that routers ask first for the prefix.
+/// Depends on the configuration, the instances and the time only, so that
+/// companions with the same data agree on who warms what without exchanging
+/// messages. The endpoints are those that routers probe first for the prefix.
 /// Thread safety: pure.
 std::vector<WarmTask>
 DueWarmTasks(const ConfigSnapshot& aConfig,
--- a/packages/state/src/admission_queue.cpp
+++ b/packages/state/src/admission_queue.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Bounds of the time a refused request is told to stay away.
+/// Bounds of the retry delay of refused requests.
 constexpr Millis kMinRetryAfter{ 50 };
 constexpr Millis kMaxRetryAfter{ 30000 };
 
-/// Least cost of a request, so that free ones still share fairly.
+/// Minimum cost of a request for fair queueing, so that requests of no cost are
+/// shared fairly, too.
 constexpr std::int64_t kMinCostMicros = 100;
 
 } // namespace
@@ -96,11 +97,12 @@
 }
 
 void
-AdmissionQueue::Erase(ClassQueue& aQueue,
-                      std::multimap<double, AdmissionTicket>::iterator aWhere)
+AdmissionQueue::Erase(
+  ClassQueue& aQueue,
+  std::multimap<double, AdmissionTicket>::iterator aPosition)
 {
-  aQueue.mCostMicros -= aWhere->second.mCostMicros;
-  aQueue.mWaiting.erase(aWhere);
+  aQueue.mCostMicros -= aPosition->second.mCostMicros;
+  aQueue.mWaiting.erase(aPosition);
   --mQueued;
   if (aQueue.mWaiting.empty()) {
     aQueue.mFinishTags.clear();
@@ -112,7 +114,7 @@
 AdmissionQueue::MayRun(const AdmissionTicket& aTicket, TimePoint aNow) const
 {
   if (aTicket.mMissingPrefix == 0 ||
-      !mFlights.contains(aTicket.mMissingPrefix)) {
+      !mPrefixOwners.contains(aTicket.mMissingPrefix)) {
     return true;
   }
   return aNow >= aTicket.mArrived + mSettings.mMaxPrefixWait;
@@ -139,8 +141,8 @@
   if (mRunning.size() >= mSettings.mSlots || mQueued == 0) {
     return std::nullopt;
   }
-  ++mTurn;
-  const bool lowestFirst = mTurn % mSettings.mOrdinaryTurn == 0;
+  ++mDispatchCount;
+  const bool lowestFirst = mDispatchCount % mSettings.mLowestClassInterval == 0;
   std::optional<AdmissionTicket> ticket;
   for (std::size_t i = 0; i < kPriorityCount && !ticket; ++i) {
     const std::size_t at = lowestFirst ? kPriorityCount - 1 - i : i;
@@ -150,8 +152,8 @@
     return std::nullopt;
   }
   RunningRequest running{ ticket->mCostMicros, ticket->mMissingPrefix };
-  if (running.mFlight != 0) {
-    mFlights.try_emplace(running.mFlight, ticket->mId);
+  if (running.mComputedPrefix != 0) {
+    mPrefixOwners.try_emplace(running.mComputedPrefix, ticket->mId);
   }
   mPendingMicros += running.mPendingMicros;
   mRunning.emplace(ticket->mId, running);
@@ -202,9 +204,9 @@
   RunningRequest& running = found->second;
   mPendingMicros -= running.mPendingMicros;
   running.mPendingMicros = 0;
-  const auto flight = mFlights.find(running.mFlight);
-  if (flight != mFlights.end() && flight->second == aId) {
-    mFlights.erase(flight);
+  const auto owner = mPrefixOwners.find(running.mComputedPrefix);
+  if (owner != mPrefixOwners.end() && owner->second == aId) {
+    mPrefixOwners.erase(owner);
   }
 }
 
@@ -231,15 +233,16 @@
 AdmissionQueue::NextWake(TimePoint aNow) const
 {
   std::optional<TimePoint> wake;
-  const auto consider = [&](TimePoint aWhen) {
+  const auto considerTime = [&](TimePoint aWhen) {
     wake = wake ? std::min(*wake, aWhen) : aWhen;
   };
   for (const ClassQueue& queue : mClasses) {
     for (const auto& [tag, ticket] : queue.mWaiting) {
-      consider(ticket.mDeadline);
-      const TimePoint flightEnd = ticket.mArrived + mSettings.mMaxPrefixWait;
-      if (ticket.mMissingPrefix != 0 && flightEnd > aNow) {
-        consider(flightEnd);
+      considerTime(ticket.mDeadline);
+      const TimePoint prefixWaitEnd =
+        ticket.mArrived + mSettings.mMaxPrefixWait;
+      if (ticket.mMissingPrefix != 0 && prefixWaitEnd > aNow) {
+        considerTime(prefixWaitEnd);
       }
     }
   }
--- a/packages/state/src/chooser_baselines.h
+++ b/packages/state/src/chooser_baselines.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Private to the state package.
+// Internal to the state package.
 
 #include "shuntjunction/state/endpoint_chooser.h"
 
 namespace shuntjunction::state {
 
-/// Any endpoint, with equal chances.
+/// Chooses endpoints uniformly at random.
 class RandomChooser final : public EndpointChooser
 {
 public:
@@ -26,11 +26,11 @@
   RandomSource& mRandom;
 };
 
-/// The endpoints with the least load that is known of, best first.
+/// Chooses the endpoints with the least known load.
 class LeastLoadChooser final : public EndpointChooser
 {
 public:
-  /// @param aSample  endpoints drawn at random to compare; 0 for all
+  /// @param aSample  number of random endpoints to compare; 0: all
   LeastLoadChooser(const EndpointTable& aTable,
                    RandomSource& aRandom,
                    std::size_t aSample)
@@ -53,7 +53,8 @@
   std::size_t mSample;
 };
 
-/// The rendezvous order of the outermost prompt level, whatever the load.
+/// Chooses by the rendezvous order of the outermost prompt level, whatever the
+/// load.
 class RendezvousChooser final : public EndpointChooser
 {
 public:
--- a/packages/state/src/chooser_nested_groups.cpp
+++ b/packages/state/src/chooser_nested_groups.cpp
@@ -54,7 +54,7 @@
     group = RendezvousOrder(group, level.mHash, group.size());
     group.resize(std::min(group.size(), std::max(width, aLimit)));
   }
-  // Of a group wider than can be asked, a random part is asked.
+  // Probe a random subset of a group that is larger than the limit.
   if (width > aLimit) {
     group.resize(width);
     std::shuffle(group.begin(), group.end(), mRandom);
--- a/packages/state/src/chooser_nested_groups.h
+++ b/packages/state/src/chooser_nested_groups.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Private to the state package.
+// Internal to the state package.
 
 #include "shuntjunction/state/endpoint_chooser.h"
 
 namespace shuntjunction::state {
 
-/// Rendezvous groups within groups: the team's, then each prompt level's,
-/// each as wide as its demand asks.
+/// Chooses from nested rendezvous groups: the team's group, then within it that
+/// of each prompt level. The size of each group follows its demand.
 class NestedGroupsChooser final : public EndpointChooser
 {
 public:
@@ -27,6 +27,7 @@
                 TimePoint aNow) override;
 
 private:
+  /// Size of a key's group.
   std::size_t Width(std::uint64_t aKey, TimePoint aNow) const;
   std::vector<RendezvousMember> Members(
     std::span<const EndpointHandle> aUsable) const;
--- a/packages/state/src/demand_tracker.cpp
+++ b/packages/state/src/demand_tracker.cpp
@@ -23,7 +23,7 @@
 DemandTracker::Add(std::uint64_t aKey, double aSeconds, TimePoint aNow)
 {
   if (mEntries.size() >= mSettings.mMaxKeys && !mEntries.contains(aKey)) {
-    DropColdest(aNow);
+    EvictColdest(aNow);
   }
   Entry& entry = mEntries[aKey];
   entry.mWork = Decayed(entry, aNow) + aSeconds;
@@ -37,13 +37,13 @@
   if (found == mEntries.end()) {
     return 0.0;
   }
-  // Work that arrives at rate r settles at r * halfLife / ln 2.
+  // Decayed work that arrives at a rate r converges to r * halfLife / ln 2.
   return Decayed(found->second, aNow) * std::numbers::ln2 /
          mSettings.mHalfLife.count();
 }
 
 void
-DemandTracker::DropColdest(TimePoint aNow)
+DemandTracker::EvictColdest(TimePoint aNow)
 {
   std::vector<double> work;
   work.reserve(mEntries.size());
--- a/packages/state/src/first_token.cpp
+++ b/packages/state/src/first_token.cpp
@@ -9,21 +9,21 @@
 
 PrefillRate::PrefillRate(const FirstTokenSettings& aSettings)
   : mSettings(aSettings)
-  , mRate(aSettings.mStartRate)
+  , mRate(aSettings.mInitialRate)
 {
 }
 
 void
 PrefillRate::Note(std::int64_t aTokens, Millis aTook)
 {
-  if (aTokens < mSettings.mLeastTokens) {
+  if (aTokens < mSettings.mMinTokens) {
     return;
   }
-  const double took = static_cast<double>(std::max(aTook, Millis(1)).count());
-  const double seen = std::clamp(static_cast<double>(aTokens) / took,
-                                 mSettings.mMinRate,
-                                 mSettings.mMaxRate);
-  mRate += mSettings.mLearningShare * (seen - mRate);
+  const double millis = static_cast<double>(std::max(aTook, Millis(1)).count());
+  const double observed = std::clamp(static_cast<double>(aTokens) / millis,
+                                     mSettings.mMinRate,
+                                     mSettings.mMaxRate);
+  mRate += mSettings.mSmoothing * (observed - mRate);
 }
 
 Millis
@@ -33,15 +33,16 @@
 }
 
 int
-EffectiveUrgency(const FirstTokenAsk& aAsk, const FirstTokenSettings& aSettings)
+EffectiveUrgency(const FirstTokenEstimate& aEstimate,
+                 const FirstTokenSettings& aSettings)
 {
-  const auto limit =
-    static_cast<double>(aAsk.mObjective.count()) * aSettings.mOnTimeShare;
+  const auto limit = static_cast<double>(aEstimate.mObjective.count()) *
+                     aSettings.mLateThreshold;
   const auto expected =
-    static_cast<double>((aAsk.mElapsed + aAsk.mExpected).count());
+    static_cast<double>((aEstimate.mElapsed + aEstimate.mExpected).count());
   const bool isLate = expected > limit;
   return std::min(kUrgencyLevels - 1,
-                  aAsk.mUrgency + (isLate ? aSettings.mLateLevels : 0));
+                  aEstimate.mUrgency + (isLate ? aSettings.mLateDemotion : 0));
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/late_requests.cpp
+++ b/packages/state/src/late_requests.cpp
@@ -12,37 +12,37 @@
 void
 LateRequests::Add(TimePoint aSentAt)
 {
-  mSent.insert(aSentAt);
+  mSentTimes.insert(aSentAt);
 }
 
 void
 LateRequests::Remove(TimePoint aSentAt)
 {
-  const auto found = mSent.find(aSentAt);
-  if (found != mSent.end()) {
-    mSent.erase(found);
+  const auto found = mSentTimes.find(aSentAt);
+  if (found != mSentTimes.end()) {
+    mSentTimes.erase(found);
   }
 }
 
 bool
 LateRequests::IsStalled(TimePoint aNow, Millis aObjective) const
 {
-  if (mSent.empty()) {
+  if (mSentTimes.empty()) {
     return false;
   }
   const auto waited =
-    std::chrono::duration_cast<Millis>(aNow - *mSent.begin()).count();
+    std::chrono::duration_cast<Millis>(aNow - *mSentTimes.begin()).count();
   return static_cast<double>(waited) >
-         mSettings.mMostWait * static_cast<double>(aObjective.count());
+         mSettings.mMaxWait * static_cast<double>(aObjective.count());
 }
 
 Millis
 LateRequests::RetryDelay(Millis aExpected, double aDraw) const
 {
-  const auto first =
-    static_cast<double>(std::max(aExpected, mSettings.mFirstReturn).count());
-  return Millis(
-    static_cast<std::int64_t>(first * (1.0 + mSettings.mReturnSpread * aDraw)));
+  const auto minDelay =
+    static_cast<double>(std::max(aExpected, mSettings.mMinRetryDelay).count());
+  return Millis(static_cast<std::int64_t>(
+    minDelay * (1.0 + mSettings.mRetryJitter * aDraw)));
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/load_schedule.cpp
+++ b/packages/state/src/load_schedule.cpp
@@ -49,10 +49,11 @@
     return std::nullopt;
   }
   const auto size = static_cast<double>(aOrder.size());
-  const auto atOnce = std::max(1.0, std::round(aSettings.mShareAtOnce * size));
+  const auto groupSize =
+    std::max(1.0, std::round(aSettings.mMaxLoadingShare * size));
   const auto group =
-    (found - aOrder.begin()) / static_cast<std::int64_t>(atOnce);
-  return aSettings.mLead + group * aSettings.mTurn;
+    (found - aOrder.begin()) / static_cast<std::int64_t>(groupSize);
+  return aSettings.mInitialDelay + group * aSettings.mGroupInterval;
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/part_index.cpp
+++ b/packages/state/src/part_index.cpp
@@ -13,17 +13,17 @@
 
 void
 PartIndex::Apply(const std::string& aHolder,
-                 bool aIsWhole,
+                 bool aIsSnapshot,
                  const std::vector<std::string>& aGained,
                  const std::vector<std::string>& aLost)
 {
-  if (aIsWhole) {
+  if (aIsSnapshot) {
     Forget(aHolder);
   }
   auto& parts = mByHolder[aHolder];
   for (const auto& part : aLost) {
     if (parts.erase(part) > 0) {
-      Remove(aHolder, part);
+      RemoveHolder(aHolder, part);
     }
   }
   for (const auto& part : aGained) {
@@ -41,13 +41,13 @@
     return;
   }
   for (const auto& part : found->second) {
-    Remove(aHolder, part);
+    RemoveHolder(aHolder, part);
   }
   mByHolder.erase(found);
 }
 
 void
-PartIndex::Remove(const std::string& aHolder, const std::string& aPart)
+PartIndex::RemoveHolder(const std::string& aHolder, const std::string& aPart)
 {
   const auto found = mByPart.find(aPart);
   if (found == mByPart.end()) {
--- a/packages/state/src/prefix_chain.cpp
+++ b/packages/state/src/prefix_chain.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Fields are length-prefixed, so that no two scopes spell the same text.
+/// Fields are length-prefixed, so that different scopes have different texts.
 std::string
 ScopeText(const CacheScope& aScope)
 {
@@ -31,16 +31,17 @@
 {
   PrefixChain chain;
   PrefixHash parent = PlacementHash(ScopeText(aScope));
-  std::string rest;
+  std::string remainder;
   for (std::size_t level = 0; level < aLevels.size(); ++level) {
-    rest += aLevels[level];
+    remainder += aLevels[level];
     std::size_t offset = 0;
-    for (; offset + kBlockBytes <= rest.size(); offset += kBlockBytes) {
-      const auto block = std::string_view(rest).substr(offset, kBlockBytes);
+    for (; offset + kBlockBytes <= remainder.size(); offset += kBlockBytes) {
+      const auto block =
+        std::string_view(remainder).substr(offset, kBlockBytes);
       parent = PlacementHash(block, parent);
       chain.mBlocks.push_back(parent);
     }
-    rest.erase(0, offset);
+    remainder.erase(0, offset);
     const bool joined = level + 1 < aLevels.size() && level + 1 >= kMaxLevels;
     if (offset > 0 && !joined) {
       chain.mLevels.push_back(
--- a/packages/state/src/relay_choice.cpp
+++ b/packages/state/src/relay_choice.cpp
@@ -14,14 +14,14 @@
   return aCandidate.mRunning >= aCandidate.mSlots;
 }
 
-/// Those that name a rate come after others that have room, and suspects after
-/// all.
+/// Indices of the candidates to choose from: those without a rate limit if one
+/// of them has room, else all that did not fail recently, else all.
 std::vector<std::size_t>
 Allowed(std::span<const RelayCandidate> aCandidates,
         const RelayChoiceSettings& aSettings)
 {
-  std::vector<std::size_t> free;
-  std::vector<std::size_t> sound;
+  std::vector<std::size_t> unlimited;
+  std::vector<std::size_t> healthy;
   std::vector<std::size_t> all;
   bool hasRoom = false;
   for (std::size_t index = 0; index < aCandidates.size(); ++index) {
@@ -30,17 +30,17 @@
     if (candidate.mIsSuspect) {
       continue;
     }
-    sound.push_back(index);
+    healthy.push_back(index);
     if (!candidate.mIsLimited) {
-      free.push_back(index);
+      unlimited.push_back(index);
       hasRoom |=
         !IsFull(candidate) && candidate.mQueuedTokens <= aSettings.mRoomTokens;
     }
   }
   if (hasRoom) {
-    return free;
+    return unlimited;
   }
-  return sound.empty() ? all : sound;
+  return healthy.empty() ? all : healthy;
 }
 
 /// Rendezvous rank of an endpoint for a key; the highest is first.
@@ -52,16 +52,18 @@
   return PlacementHash(bytes, aKey);
 }
 
-/// What a small request finds before it, counted in requests.
+/// Load that a small request finds at an endpoint, in requests, with a penalty
+/// for other zones.
 std::int64_t
 CostOf(const RelayCandidate& aCandidate, const RelayChoiceSettings& aSettings)
 {
   return aCandidate.mRunning +
-         aCandidate.mQueuedTokens / aSettings.mTokensOfRunning +
-         (aCandidate.mIsSameZone ? 0 : aSettings.mZoneLead);
+         aCandidate.mQueuedTokens / aSettings.mTokensPerRequest +
+         (aCandidate.mIsSameZone ? 0 : aSettings.mMaxZoneLead);
 }
 
-/// Whether an endpoint has room where the other has none, or less to read.
+/// Whether an endpoint has a free slot and the other has none, or, if they are
+/// equal in that, fewer queued tokens.
 bool
 IsLessLoaded(const RelayCandidate& aOne, const RelayCandidate& aOther)
 {
@@ -69,9 +71,9 @@
          std::pair(IsFull(aOther), aOther.mQueuedTokens);
 }
 
-/// The first of a key's rendezvous order, the own zone before the others.
+/// The first of a key's rendezvous order, the local zone before the others.
 ///
-/// @pre  aAllowed is not empty
+/// @pre aAllowed is not empty
 std::size_t
 FirstOfOrder(std::span<const RelayCandidate> aCandidates,
              const std::vector<std::size_t>& aAllowed,
@@ -109,27 +111,29 @@
     return first;
   }
   const auto second = ranked[1].second;
-  const bool isSecondAhead =
+  const bool preferSecond =
     aCandidates[second].mHoldsPart && !aCandidates[first].mHoldsPart;
-  const auto leader = isSecondAhead ? second : first;
-  // The least loaded of the others that are near the front of the order.
+  const auto preferred = preferSecond ? second : first;
+  // The least loaded of the other endpoints at the front of the order.
   const auto end =
     ranked.begin() + static_cast<std::ptrdiff_t>(
                        std::min(ranked.size(), aSettings.mPartCandidates));
-  std::optional<std::size_t> other;
+  std::optional<std::size_t> alternative;
   for (auto item = ranked.begin(); item != end; ++item) {
     const auto index = item->second;
-    if (index != leader &&
-        (!other || IsLessLoaded(aCandidates[index], aCandidates[*other]))) {
-      other = index;
+    if (index != preferred &&
+        (!alternative ||
+         IsLessLoaded(aCandidates[index], aCandidates[*alternative]))) {
+      alternative = index;
     }
   }
-  const auto& led = aCandidates[leader];
-  const auto& next = aCandidates[*other];
-  const bool isFull = IsFull(led) && !IsFull(next);
+  const auto& preferredLoad = aCandidates[preferred];
+  const auto& alternativeLoad = aCandidates[*alternative];
+  const bool isFull = IsFull(preferredLoad) && !IsFull(alternativeLoad);
   const bool isBehind =
-    led.mQueuedTokens > next.mQueuedTokens + aSettings.mMaxLeadTokens;
-  return isFull || isBehind ? *other : leader;
+    preferredLoad.mQueuedTokens >
+    alternativeLoad.mQueuedTokens + aSettings.mMaxLeadTokens;
+  return isFull || isBehind ? *alternative : preferred;
 }
 
 std::optional<std::size_t>
@@ -156,7 +160,7 @@
   }
   const auto first = FirstOfOrder(aCandidates, allowed, *aKey);
   const auto cost = CostOf(aCandidates[first], aSettings);
-  return cost <= bestCost + aSettings.mSmallPartLead ? first : best;
+  return cost <= bestCost + aSettings.mMaxSmallPartLead ? first : best;
 }
 
 std::optional<std::size_t>
--- a/packages/state/src/rendezvous.cpp
+++ b/packages/state/src/rendezvous.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Score of a member for a key: weight / -ln(u), u uniform in (0, 1).
+/// Score of a member for a key: weight / -ln(u), with u uniform in (0, 1).
 double
 Score(const RendezvousMember& aMember, std::uint64_t aKey)
 {
--- a/packages/state/src/request_digest.cpp
+++ b/packages/state/src/request_digest.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// 128 bits of the digest are kept: enough against made collisions of 2^64
-/// tries, and half the bytes in each line and message.
+/// The digest is truncated to 128 bits: forging a collision takes 2^64
+/// attempts, and log lines and messages carry half the bytes.
 constexpr std::size_t kDigits = 32;
 
 } // namespace
@@ -15,7 +15,8 @@
 RequestDigest::RequestDigest(const RequestContent& aContent)
 {
   std::string text;
-  // None of the fields before the body may hold a line's end.
+  // The fields before the body can't contain a line break, so that different
+  // contents yield different texts.
   for (const auto field : { aContent.mMethod,
                             aContent.mHost,
                             aContent.mTarget,
--- a/packages/state/src/request_lifecycle.cpp
+++ b/packages/state/src/request_lifecycle.cpp
@@ -32,7 +32,6 @@
   : public msm::front::state_machine_def<RequestDef>
   , public IgnoresUnhandledEvents
 {
-  // States.
   using Unsent = MachineState<RequestState::kUnsent>;
   using InOffer = MachineState<RequestState::kOffered>;
   using Running = MachineState<RequestState::kRunning>;
@@ -41,7 +40,7 @@
   using Settled = MachineState<RequestState::kSettled>;
   using initial_state = Unsent;
 
-  struct MarkDoubt
+  struct MarkUncertain
   {
     template<typename Event, typename Fsm, typename From, typename To>
     void operator()(const Event&, Fsm& aFsm, From&, To&)
@@ -68,18 +67,18 @@
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
-    //  from       event          to         action       guard
-    Row<Unsent,    OfferedEvent,  InOffer,   none,        none>,
-    Row<Uncertain, OfferedEvent,  InOffer,   none,        none>,
-    Row<InOffer,   RefusedEvent,  Unsent,    none,        none>,
-    Row<InOffer,   RefusedEvent,  Uncertain, none,        WasUncertain>,
-    Row<InOffer,   StartedEvent,  Running,   MarkStarted, none>,
-    Row<InOffer,   LostEvent,     Uncertain, MarkDoubt,   none>,
-    Row<Running,   LostEvent,     Uncertain, MarkDoubt,   none>,
-    Row<InOffer,   FinishedEvent, Complete,  none,        none>,
-    Row<Running,   FinishedEvent, Complete,  none,        none>,
-    Row<InOffer,   SettledEvent,  Settled,   none,        none>,
-    Row<Running,   SettledEvent,  Settled,   none,        none>
+    //  from       event          to         action         guard
+    Row<Unsent,    OfferedEvent,  InOffer,   none,          none>,
+    Row<Uncertain, OfferedEvent,  InOffer,   none,          none>,
+    Row<InOffer,   RefusedEvent,  Unsent,    none,          none>,
+    Row<InOffer,   RefusedEvent,  Uncertain, none,          WasUncertain>,
+    Row<InOffer,   StartedEvent,  Running,   MarkStarted,   none>,
+    Row<InOffer,   LostEvent,     Uncertain, MarkUncertain, none>,
+    Row<Running,   LostEvent,     Uncertain, MarkUncertain, none>,
+    Row<InOffer,   FinishedEvent, Complete,  none,          none>,
+    Row<Running,   FinishedEvent, Complete,  none,          none>,
+    Row<InOffer,   SettledEvent,  Settled,   none,          none>,
+    Row<Running,   SettledEvent,  Settled,   none,          none>
   > {};
   // clang-format on
 
@@ -156,7 +155,8 @@
     case Repeatability::kRepeatable:
       return true;
     case Repeatability::kClaimed:
-      // Until it was started the claim may still be free; it decides.
+      // Before a start the claim may still be free, and it prevents a second
+      // run.
       return !mMachine->mWasStarted;
     case Repeatability::kUnclaimed:
       return false;
--- a/packages/state/src/warming.cpp
+++ b/packages/state/src/warming.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::int64_t kMinute = 60000;
-constexpr std::int64_t kDay = 24L * 60 * kMinute;
+constexpr std::int64_t kMinuteMillis = 60000;
+constexpr std::int64_t kDayMillis = 24L * 60 * kMinuteMillis;
 
-/// Endpoints of a model that are listed and not leaving.
+/// Endpoints of a model that are listed, configured and not leaving.
 std::vector<RendezvousMember>
 LiveMembers(const ConfigSnapshot& aConfig,
             const std::vector<InstanceInfo>& aInstances,
@@ -66,8 +66,8 @@
   };
   const std::int64_t hours = 10 * digit(0) + digit(1);
   const std::int64_t minutes = 10 * digit(3) + digit(4);
-  const std::int64_t start = (hours * 60 + minutes) * kMinute;
-  return Millis((start - aWallMillis % kDay + kDay) % kDay);
+  const std::int64_t start = (hours * 60 + minutes) * kMinuteMillis;
+  return Millis((start - aWallMillis % kDayMillis + kDayMillis) % kDayMillis);
 }
 
 std::vector<WarmTask>
@@ -76,7 +76,7 @@
              std::string_view aEndpoint,
              std::int64_t aWallMillis)
 {
-  std::vector<WarmTask> tasks;
+  std::vector<WarmTask> dueTasks;
   for (const auto& parameters : aConfig.mParameters) {
     Millis until = kWarmLead + Millis(1);
     for (const auto& start : parameters.mStartTimes) {
@@ -99,10 +99,10 @@
                   chain.mLevels,
                   std::max(count, kMinGroupWidth));
     if (IsAmongFirst(order, aInstances, aEndpoint, count)) {
-      tasks.push_back(std::move(task));
+      dueTasks.push_back(std::move(task));
     }
   }
-  return tasks;
+  return dueTasks;
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/admission_test.cpp
+++ b/packages/state/tests/admission_test.cpp
@@ -1,5 +1,6 @@
-// The story of admission: classes, teams, deadlines, shedding, one flight of
-// a prefix, and the limits that routers keep.
+// Admission control: classes, teams, deadlines, shedding, waiting for a prefix
+// that another request computes, and the team limits and retry budgets of
+// routers.
 
 #include <set>
 
@@ -70,17 +71,17 @@
 {
   Enqueue(Ticket(Priority::kOrdinary));
   int turns = 0;
-  std::uint64_t taken = 0;
-  while (taken != 1 && turns < 20) {
+  std::uint64_t admitted = 0;
+  while (admitted != 1 && turns < 20) {
     Enqueue(Ticket(Priority::kUrgent));
-    taken = Next();
-    mQueue.Remove(taken);
+    admitted = Next();
+    mQueue.Remove(admitted);
     ++turns;
   }
-  EXPECT_EQ(taken, 1U);
+  EXPECT_EQ(admitted, 1U);
 }
 
-TEST_F(GivenAQueue, TheWaitSaysWhatStandsBefore)
+TEST_F(GivenAQueue, TheWaitIsTheCostOfTheWorkAhead)
 {
   EXPECT_EQ(mQueue.WaitMicros(Priority::kOrdinary), 0);
   Enqueue(Ticket(Priority::kOrdinary));
@@ -105,7 +106,7 @@
   }
 };
 
-TEST_F(ThatIsFull, OrdinaryWorkIsRefusedAtOnceAndToldWhenToComeBack)
+TEST_F(ThatIsFull, OrdinaryWorkIsRefusedAtOnceWithARetryDelay)
 {
   const auto refusals = Enqueue(Ticket(Priority::kOrdinary));
   ASSERT_EQ(refusals.size(), 1U);
@@ -123,7 +124,7 @@
   EXPECT_EQ(Next(), 5U);
 }
 
-TEST_F(ThatIsFull, AStopRefusesAllThatWaits)
+TEST_F(ThatIsFull, RefuseAllEmptiesTheQueue)
 {
   EXPECT_EQ(mQueue.RefuseAll(RefusalReason::kLeaving).size(), 4U);
   EXPECT_EQ(mQueue.Queued(), 0U);
@@ -144,13 +145,13 @@
   ASSERT_EQ(refusals.size(), 1U);
   EXPECT_EQ(refusals[0].mReason, RefusalReason::kTooLate);
   {
-    SCOPED_TRACE("it is the look at the deadline that refuses: else it waits");
+    SCOPED_TRACE("a request with a later deadline is queued");
     EXPECT_TRUE(Enqueue(Ticket(Priority::kUrgent)).empty());
     EXPECT_EQ(mQueue.Queued(), 2U);
   }
 }
 
-TEST_F(WithDeadlines, WhatHasWaitedTooLongIsRefusedWithoutBeingAsked)
+TEST_F(WithDeadlines, WhatHasWaitedTooLongExpires)
 {
   Enqueue(Ticket(Priority::kOrdinary));
   EXPECT_TRUE(mQueue.Expire(mClock.Now()).empty());
@@ -175,8 +176,9 @@
   const auto small = Ticket(Priority::kOrdinary, "small");
   Enqueue(small);
   int before = 0;
-  for (std::uint64_t taken = Next(); taken != small.mId; taken = Next()) {
-    mQueue.Remove(taken);
+  for (std::uint64_t admitted = Next(); admitted != small.mId;
+       admitted = Next()) {
+    mQueue.Remove(admitted);
     ++before;
   }
   EXPECT_LE(before, 2);
@@ -210,7 +212,7 @@
   EXPECT_EQ(Next(), 2U);
 }
 
-TEST_F(WithOnePrefix, ButNotForEver)
+TEST_F(WithOnePrefix, ButOnlyForABoundedTime)
 {
   Enqueue(Missing(9));
   Enqueue(Missing(9));
@@ -220,7 +222,7 @@
   EXPECT_EQ(Next(), 2U);
 }
 
-TEST_F(WithOnePrefix, AFirstThatFailsFreesTheOthers)
+TEST_F(WithOnePrefix, IfTheFirstFailsTheNextComputesIt)
 {
   Enqueue(Missing(9));
   Enqueue(Missing(9));
@@ -229,9 +231,9 @@
   EXPECT_EQ(Next(), 2U);
 }
 
-/// Any order of arrivals, ends, refusals and passing time.
+/// Any sequence of arrivals, dispatches, completions and expirations.
 RC_GTEST_PROP(GeneratedArrivals,
-              NothingIsLostNothingRunsTwiceAndTheSumsComeOutEven,
+              NoRequestIsLostOrRunsTwiceAndTheTotalsMatch,
               (const std::vector<std::uint8_t>& aSchedule))
 {
   ManualClock clock;
@@ -245,19 +247,19 @@
       RC_ASSERT(refusal.mRetryAfter > Millis(0));
     }
   };
-  for (const std::uint8_t choice : aSchedule) {
+  for (const std::uint8_t step : aSchedule) {
     AdmissionTicket ticket;
-    switch (choice % 6) {
+    switch (step % 6) {
       case 0:
       case 1:
       case 2:
         ticket.mId = ++last;
-        ticket.mPriority = static_cast<Priority>(choice / 6 % 3);
-        ticket.mTeam = std::to_string(choice / 18 % 2);
-        ticket.mCostMicros = choice;
-        ticket.mMissingPrefix = choice / 36 % 3;
+        ticket.mPriority = static_cast<Priority>(step / 6 % 3);
+        ticket.mTeam = std::to_string(step / 18 % 2);
+        ticket.mCostMicros = step;
+        ticket.mMissingPrefix = step / 36 % 3;
         ticket.mArrived = clock.Now();
-        ticket.mDeadline = clock.Now() + Millis(50 + choice);
+        ticket.mDeadline = clock.Now() + Millis(50 + step);
         waiting.insert(ticket.mId);
         refuse(queue.Enqueue(ticket, clock.Now()));
         break;
@@ -274,7 +276,7 @@
         }
         break;
       default:
-        clock.Advance(Millis(choice));
+        clock.Advance(Millis(step));
         refuse(queue.Expire(clock.Now()));
         break;
     }
@@ -293,17 +295,17 @@
 class GivenATeamLimit : public ::testing::Test
 {
 protected:
-  int Taken(int aRequests, std::size_t aRouters)
+  int Granted(int aRequests, std::size_t aRouters)
   {
-    int taken = 0;
+    int admitted = 0;
     for (int i = 0; i < aRequests; ++i) {
       const Millis wait =
         mLimiter.Take("t", { 100.0, 20.0 }, aRouters, mClock.Now());
-      taken += wait == Millis(0);
+      admitted += wait == Millis(0);
       mLastWait = wait;
       mClock.Advance(Millis(1));
     }
-    return taken;
+    return admitted;
   }
 
   ManualClock mClock;
@@ -311,19 +313,19 @@
   Millis mLastWait{ 0 };
 };
 
-TEST_F(GivenATeamLimit, OneRouterGivesTheWholeOfIt)
+TEST_F(GivenATeamLimit, OneRouterGrantsAllOfIt)
 {
-  EXPECT_NEAR(Taken(1000, 1), 120, 2);
+  EXPECT_NEAR(Granted(1000, 1), 120, 2);
   EXPECT_GT(mLastWait, Millis(0));
   EXPECT_LE(mLastWait, Millis(10));
 }
 
-TEST_F(GivenATeamLimit, ManyRoutersGiveAShareEach)
+TEST_F(GivenATeamLimit, EachOfManyRoutersGrantsItsShare)
 {
-  EXPECT_NEAR(Taken(1000, 4), 30, 2);
+  EXPECT_NEAR(Granted(1000, 4), 30, 2);
 }
 
-TEST_F(GivenATeamLimit, WithoutALimitAllIsGiven)
+TEST_F(GivenATeamLimit, WithoutALimitEverythingIsGranted)
 {
   for (int i = 0; i < 1000; ++i) {
     EXPECT_EQ(mLimiter.Take("u", {}, 1, mClock.Now()), Millis(0));
@@ -338,7 +340,7 @@
   constexpr int kRequests = 1000;
   for (int i = 0; i < kRequests; ++i) {
     budget.Earn(clock.Now());
-    // Half of the endpoints fail: every second request wants three retries.
+    // Half of the endpoints fail: every other request asks for three retries.
     for (int want = 0; want < 3 * (i % 2); ++want) {
       retries += budget.Spend(clock.Now());
     }
--- a/packages/state/tests/first_token_test.cpp
+++ b/packages/state/tests/first_token_test.cpp
@@ -1,5 +1,5 @@
-// The story of what waits at an engine, and of when a request sees its first
-// token there.
+// Tokens that wait for prefill at an engine, and the urgency of requests by
+// their expected time to first token.
 
 #include <gtest/gtest.h>
 
@@ -27,7 +27,7 @@
   EXPECT_EQ(mWaiting.Total(), 1100);
 }
 
-TEST_F(GivenWaitingTokens, AnUrgencyBeyondTheLevelsCountsAsTheNearest)
+TEST_F(GivenWaitingTokens, AnUrgencyOutOfRangeIsClamped)
 {
   mWaiting.Add(-4, 1);
   mWaiting.Add(70, 10);
@@ -35,28 +35,28 @@
   EXPECT_EQ(mWaiting.AheadOf(12), 1111);
 }
 
-TEST_F(GivenWaitingTokens, MoreIsNeverTakenBackThanThereIs)
+TEST_F(GivenWaitingTokens, NoLevelFallsBelowZero)
 {
   mWaiting.Remove(3, 5000);
   EXPECT_EQ(mWaiting.Total(), 100);
 }
 
-TEST_F(GivenWaitingTokens, AbsurdCountsOfAPeerAreBounded)
+TEST_F(GivenWaitingTokens, ImplausibleCountsOfAPeerAreClamped)
 {
-  const WaitingTokens told(
+  const WaitingTokens reported(
     WaitingTokens::Levels{ -5, INT64_MAX, 0, 0, 0, 0, 0, 0, 0, 7 });
-  EXPECT_EQ(told.AheadOf(0), 0);
-  EXPECT_LT(told.Total(), 100'000'000);
+  EXPECT_EQ(reported.AheadOf(0), 0);
+  EXPECT_LT(reported.Total(), 100'000'000);
 }
 
-class GivenARate : public ::testing::Test
+class GivenAPrefillRate : public ::testing::Test
 {
 protected:
   FirstTokenSettings mSettings;
   PrefillRate mRate{ mSettings };
 };
 
-TEST_F(GivenARate, ItIsLearnedFromWhatWasRead)
+TEST_F(GivenAPrefillRate, ItIsLearnedFromPrefills)
 {
   for (int i = 0; i < 100; ++i) {
     mRate.Note(8000, Millis(100));
@@ -65,20 +65,20 @@
   EXPECT_EQ(mRate.TimeOf(8000).count() / 10, 10);
 }
 
-TEST_F(GivenARate, PromptsAsShortAsAStepTeachNothing)
+TEST_F(GivenAPrefillRate, ShortPromptsAreNotObserved)
 {
-  mRate.Note(mSettings.mLeastTokens - 1, Millis(500));
-  EXPECT_EQ(mRate.TokensPerMilli(), mSettings.mStartRate);
+  mRate.Note(mSettings.mMinTokens - 1, Millis(500));
+  EXPECT_EQ(mRate.TokensPerMilli(), mSettings.mInitialRate);
 }
 
-TEST_F(GivenARate, WhatCannotBeIsBounded)
+TEST_F(GivenAPrefillRate, ImplausibleObservationsAreClamped)
 {
   for (int i = 0; i < 1000; ++i) {
     mRate.Note(INT64_MAX, Millis(-7));
   }
   EXPECT_LE(mRate.TokensPerMilli(), mSettings.mMaxRate);
   for (int i = 0; i < 1000; ++i) {
-    mRate.Note(mSettings.mLeastTokens, Millis::max());
+    mRate.Note(mSettings.mMinTokens, Millis::max());
   }
   EXPECT_GE(mRate.TokensPerMilli(), 0.9 * mSettings.mMinRate);
 }
@@ -102,18 +102,18 @@
 
 TEST_F(GivenARequestToSend, OneThatMissesItGoesBehindAllThatMeetTheirs)
 {
-  EXPECT_EQ(Urgency(Millis(100), Millis(900)), 1 + mSettings.mLateLevels);
-  EXPECT_EQ(Urgency(Millis(900), Millis(100)), 1 + mSettings.mLateLevels);
+  EXPECT_EQ(Urgency(Millis(100), Millis(900)), 1 + mSettings.mLateDemotion);
+  EXPECT_EQ(Urgency(Millis(900), Millis(100)), 1 + mSettings.mLateDemotion);
 }
 
-TEST_F(GivenARequestToSend, ItNeverLeavesTheLevels)
+TEST_F(GivenARequestToSend, ItNeverExceedsTheLowestLevel)
 {
   EXPECT_EQ(Urgency(Millis(0), Millis(5000), 8), kUrgencyLevels - 1);
 }
 
-/// An engine that reads 40 tokens a millisecond, and 40 requests of 9,000
-/// tokens (225 ms) in the 4.5 s in which it can read 20.
-class GivenTwiceWhatAnEngineReads : public ::testing::Test
+/// An engine that prefills 40 tokens per millisecond gets 40 requests of 9,000
+/// tokens (225 ms each) in 4.5 s, in which it can serve 20.
+class GivenTwiceTheLoadAnEngineCanServe : public ::testing::Test
 {
 protected:
   std::vector<SimulatedRequest> Play(QueueingPolicy aOrder) const
@@ -135,7 +135,7 @@
                          [](const auto& aOne) { return aOne.IsInTime(); });
   }
 
-  static long InVain(const std::vector<SimulatedRequest>& aRequests)
+  static long TimedOut(const std::vector<SimulatedRequest>& aRequests)
   {
     return std::count_if(aRequests.begin(),
                          aRequests.end(),
@@ -143,18 +143,18 @@
   }
 };
 
-TEST_F(GivenTwiceWhatAnEngineReads, AsTheyComeNearlyAllAreLate)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe, InOrderOfArrivalNearlyAllAreLate)
 {
   EXPECT_LT(InTime(Play(QueueingPolicy::kByRouteUrgency)), 8);
 }
 
-TEST_F(GivenTwiceWhatAnEngineReads, ByObjectiveMostOfWhatItReadsIsInTime)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe, ByObjectiveMostOfWhatItServesIsInTime)
 {
-  // Of the 20 that it can read meanwhile.
+  // Of the 20 that it can serve in that time.
   EXPECT_GE(InTime(Play(QueueingPolicy::kByObjective)), 15);
 }
 
-TEST_F(GivenTwiceWhatAnEngineReads, TheOthersAreStillServedFromWhatIsLeft)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe, TheOthersAreStillServedFromWhatIsLeft)
 {
   const auto requests = Play(QueueingPolicy::kByObjective);
   const auto served =
@@ -164,15 +164,16 @@
   EXPECT_GT(served, InTime(requests));
 }
 
-TEST_F(GivenTwiceWhatAnEngineReads, WhoWouldWaitInVainIsRefusedAtOnce)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe,
+       RequestsThatWouldTimeOutAreRefusedAtOnce)
 {
   const auto without = Play(QueueingPolicy::kByObjective);
   const auto with = Play(QueueingPolicy::kByObjectiveRejecting);
   EXPECT_GE(InTime(with), InTime(without));
-  EXPECT_LE(InVain(with), InVain(without) / 2);
+  EXPECT_LE(TimedOut(with), TimedOut(without) / 2);
 }
 
-TEST_F(GivenTwiceWhatAnEngineReads, NobodyIsWhileAllCanBeServed)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe, NoneIsRefusedWhileAllCanBeServed)
 {
   constexpr int kRequests = 40;
   std::vector<SimulatedRequest> requests;
@@ -185,38 +186,38 @@
   EXPECT_EQ(InTime(requests), kRequests);
 }
 
-/// Requests that wait behind the others at an engine.
-class GivenALateQueue : public ::testing::Test
+/// Late requests at one engine.
+class GivenLateRequests : public ::testing::Test
 {
 protected:
   static constexpr Millis kObjective{ 600 };
 
   ManualClock mClock;
-  LateRequests mQueue;
+  LateRequests mLateRequests;
 };
 
-TEST_F(GivenALateQueue, ItIsStuckOnceOneHasWaitedForItsObjective)
+TEST_F(GivenLateRequests, TheyAreStalledOnceOneHasWaitedForItsObjective)
 {
-  EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
+  EXPECT_FALSE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   const auto first = mClock.Now();
-  mQueue.Add(first);
+  mLateRequests.Add(first);
   mClock.Advance(kObjective);
-  mQueue.Add(mClock.Now());
-  EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
+  mLateRequests.Add(mClock.Now());
+  EXPECT_FALSE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   mClock.Advance(Millis(1));
-  EXPECT_TRUE(mQueue.IsStalled(mClock.Now(), kObjective));
+  EXPECT_TRUE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   {
     SCOPED_TRACE("it got its first token");
-    mQueue.Remove(first);
-    EXPECT_FALSE(mQueue.IsStalled(mClock.Now(), kObjective));
+    mLateRequests.Remove(first);
+    EXPECT_FALSE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   }
 }
 
-TEST_F(GivenALateQueue, RefusedCallersComeBackSpreadAfterWhatWaitsIsRead)
+TEST_F(GivenLateRequests, RetriesAreSpreadAfterTheQueueIsPrefilled)
 {
-  EXPECT_EQ(mQueue.RetryDelay(Millis(800), 0.0), Millis(800));
-  EXPECT_EQ(mQueue.RetryDelay(Millis(800), 1.0), Millis(1600));
-  EXPECT_EQ(mQueue.RetryDelay(Millis(10), 0.0), Millis(300));
+  EXPECT_EQ(mLateRequests.RetryDelay(Millis(800), 0.0), Millis(800));
+  EXPECT_EQ(mLateRequests.RetryDelay(Millis(800), 1.0), Millis(1600));
+  EXPECT_EQ(mLateRequests.RetryDelay(Millis(10), 0.0), Millis(300));
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/overload_guard_test.cpp
+++ b/packages/state/tests/overload_guard_test.cpp
@@ -1,4 +1,4 @@
-// The story of a process that gets more work than it can answer.
+// Detection of overload by the delay of a timer.
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 class GivenAGuard : public ::testing::Test
 {
 protected:
-  void Look(Millis aDelay, int aTimes = 1)
+  void Check(Millis aDelay, int aTimes = 1)
   {
     for (int i = 0; i < aTimes; ++i) {
       mGuard.NoteTimerDelay(aDelay);
@@ -22,37 +22,40 @@
 
 TEST_F(GivenAGuard, OnePauseOfTheMachineIsNoOverload)
 {
-  Look(Millis(4000));
-  Look(Millis(0));
-  Look(Millis(4000));
+  Check(Millis(4000));
+  Check(Millis(0));
+  Check(Millis(4000));
   EXPECT_FALSE(mGuard.MustRefuse(5));
 }
 
 TEST_F(GivenAGuard, NorIsAProcessThatIsOftenALittleLate)
 {
-  Look(Millis(95), 100);
+  Check(Millis(95), 100);
   EXPECT_FALSE(mGuard.MustRefuse(5));
 }
 
 class ThatIsLateAgainAndAgain : public GivenAGuard
 {
 protected:
-  ThatIsLateAgainAndAgain() { Look(mSettings.mLate, mSettings.mLateLooks); }
+  ThatIsLateAgainAndAgain()
+  {
+    Check(mSettings.mLateDelay, mSettings.mLateChecks);
+  }
 };
 
 TEST_F(ThatIsLateAgainAndAgain, TheMostUrgentWorkIsRefusedLast)
 {
   EXPECT_TRUE(mGuard.MustRefuse(1));
   EXPECT_FALSE(mGuard.MustRefuse(0));
-  Look(mSettings.mLate, mSettings.mLateLooksUrgent);
+  Check(mSettings.mLateDelay, mSettings.mLateChecksUrgent);
   EXPECT_TRUE(mGuard.MustRefuse(0));
 }
 
-TEST_F(ThatIsLateAgainAndAgain, AllIsTakenAgainOnceItIsOnTime)
+TEST_F(ThatIsLateAgainAndAgain, AllIsAcceptedAgainOnceItIsOnTime)
 {
-  Look(Millis(100));
+  Check(Millis(100));
   EXPECT_TRUE(mGuard.IsOverloaded());
-  Look(Millis(5));
+  Check(Millis(5));
   EXPECT_FALSE(mGuard.IsOverloaded());
 }
 
--- a/packages/state/tests/placement_load_test.cpp
+++ b/packages/state/tests/placement_load_test.cpp
@@ -1,11 +1,12 @@
-// The load after new weights: all shared parts are read anew, at every engine,
-// while short streams run beside the reading.
+// Pauses of streams after a change of weights, when every engine prefills all
+// shared parts anew while short streams run on it.
 //
-// What callers saw: a fifth of their short streams paused for longer than their
-// route allows, though the first token came at once. An event holds eight
-// tokens, and while an engine reads, each token waits for a piece of reading:
-// eight such in a row are too long. Engines had up to half a second of reading
-// before another of a prompt's order took the next one.
+// Guards against this failure: a fifth of the callers' short streams paused for
+// longer than their route allows, although the first token came at once. An
+// event of a stream carries eight tokens, and on an engine that prefills, each
+// token waits for a chunk of prefill; eight such waits exceed the limit. An
+// engine got up to half a second of prefill queued before another engine of the
+// prompt's rendezvous order was chosen.
 
 #include <gtest/gtest.h>
 
@@ -18,49 +19,50 @@
 namespace {
 
 constexpr std::size_t kEngines = 57;
-constexpr std::size_t kSlowOnes = 3; ///< each third engine is slower
-constexpr double kSlower = 1.3;
-constexpr double kRate = 57;          ///< tokens read in a millisecond
-constexpr std::int64_t kPiece = 4096; ///< tokens read beside one token
-constexpr double kReadingStep = 76;   ///< ms a token beside a piece
-constexpr double kPlainStep = 5;      ///< ms a token without
-constexpr double kMostPause = 600;    ///< ms between two events
+constexpr std::size_t kSlowEvery = 3; ///< every third engine is slower
+constexpr double kSlowFactor = 1.3;
+constexpr double kPrefillRate = 57;   ///< tokens per millisecond
+constexpr std::int64_t kChunk = 4096; ///< tokens prefilled in one step
+constexpr double kPrefillStep = 76;   ///< ms per token while prefilling
+constexpr double kDecodeStep = 5;     ///< ms per token otherwise
+constexpr double kMaxPause = 600;     ///< ms between two events
 constexpr int kTokensOfEvent = 8;
 constexpr int kTokensOfStream = 36;
-constexpr std::int64_t kPrompt = 9200;  ///< tokens, none of them kept
-constexpr double kPromptsAMilli = 0.18; ///< the wave's top
-constexpr double kStreamsAMilli = 0.4;
-constexpr int kPlayed = 8000;  ///< ms
-constexpr int kNewsDelay = 20; ///< ms until relays hear what waits
+constexpr std::int64_t kPrompt = 9200;    ///< tokens, none of them cached
+constexpr double kPromptsPerMilli = 0.18; ///< at the peak after the change
+constexpr double kStreamsPerMilli = 0.4;
+constexpr int kDuration = 8000;  ///< ms
+constexpr int kReportDelay = 20; ///< ms until relays learn an engine's load
 
-/// A stream that runs at an engine.
+/// A stream that runs on an engine.
 struct Stream
 {
-  int mLeft = kTokensOfStream;
-  double mEvent = 0; ///< ms that the event took which is being made
-  double mStep = 0;  ///< ms that its next token still takes
+  int mTokensLeft = kTokensOfStream;
+  double mEventTime = 0; ///< ms spent on the current event
+  double mStepLeft = 0;  ///< ms until the next token
   bool mHasPaused = false;
 };
 
 struct Engine
 {
   double mSlowness = 1;
-  double mQueued = 0; ///< tokens to be read
+  double mQueued = 0; ///< tokens to prefill
   std::vector<Stream> mStreams;
 };
 
-/// Streams that ended, and those that paused for too long.
-struct Ended
+/// Streams that ended, and those of them that paused for too long.
+struct StreamCounts
 {
   int mAll = 0;
   int mPaused = 0;
 };
 
-/// Engines in virtual time, and prompts and streams that the choice places.
-class EnginesThatReadEverything
+/// Simulates engines in virtual time, with prompts and streams placed by
+/// ChooseByPart and ChooseByLoad.
+class EngineSimulation
 {
 public:
-  explicit EnginesThatReadEverything(const RelayChoiceSettings& aSettings)
+  explicit EngineSimulation(const RelayChoiceSettings& aSettings)
     : mSettings(aSettings)
     , mEngines(kEngines)
     , mCandidates(kEngines)
@@ -70,38 +72,38 @@
       mCandidates[i].mIsSameZone = true;
       mCandidates[i].mVersion = 1;
       mCandidates[i].mSlots = 64;
-      mEngines[i].mSlowness = i % kSlowOnes == 0 ? kSlower : 1;
+      mEngines[i].mSlowness = i % kSlowEvery == 0 ? kSlowFactor : 1;
     }
   }
 
-  Ended Play()
+  StreamCounts Run()
   {
-    std::poisson_distribution<int> prompts(kPromptsAMilli);
-    std::poisson_distribution<int> streams(kStreamsAMilli);
-    for (int now = 0; now < kPlayed; ++now) {
+    std::poisson_distribution<int> prompts(kPromptsPerMilli);
+    std::poisson_distribution<int> streams(kStreamsPerMilli);
+    for (int now = 0; now < kDuration; ++now) {
       for (int i = prompts(mRandom); i > 0; --i) {
         const auto at = ChooseByPart(mCandidates, mRandom(), mSettings);
         mEngines[*at].mQueued += kPrompt;
-        Tell(*at);
+        Report(*at);
       }
       for (int i = streams(mRandom); i > 0; --i) {
         const auto at =
           ChooseByLoad(mCandidates, std::nullopt, mSettings, mRandom);
         mEngines[*at].mStreams.emplace_back();
-        Tell(*at);
+        Report(*at);
       }
       for (std::size_t i = 0; i < mEngines.size(); ++i) {
         Step(mEngines[i]);
-        if (now % kNewsDelay == 0) {
-          Tell(i);
+        if (now % kReportDelay == 0) {
+          Report(i);
         }
       }
     }
-    return mEnded;
+    return mCounts;
   }
 
 private:
-  void Tell(std::size_t aAt)
+  void Report(std::size_t aAt)
   {
     mCandidates[aAt].mQueuedTokens =
       static_cast<std::int64_t>(mEngines[aAt].mQueued);
@@ -111,34 +113,35 @@
 
   void Step(Engine& aEngine)
   {
-    const bool isReading = aEngine.mQueued >= kPiece;
+    const bool isPrefilling = aEngine.mQueued >= kChunk;
     aEngine.mQueued =
-      std::max(0.0, aEngine.mQueued - kRate / aEngine.mSlowness);
+      std::max(0.0, aEngine.mQueued - kPrefillRate / aEngine.mSlowness);
     for (auto& stream : aEngine.mStreams) {
-      StepOf(stream, isReading, aEngine.mSlowness);
+      StepOf(stream, isPrefilling, aEngine.mSlowness);
     }
     std::erase_if(aEngine.mStreams, [&](const Stream& aStream) {
-      const bool hasEnded = aStream.mLeft == 0;
-      mEnded.mAll += hasEnded;
-      mEnded.mPaused += hasEnded && aStream.mHasPaused;
+      const bool hasEnded = aStream.mTokensLeft == 0;
+      mCounts.mAll += hasEnded;
+      mCounts.mPaused += hasEnded && aStream.mHasPaused;
       return hasEnded;
     });
   }
 
-  static void StepOf(Stream& aStream, bool aIsReading, double aSlowness)
+  static void StepOf(Stream& aStream, bool aIsPrefilling, double aSlowness)
   {
-    if (aStream.mStep <= 0) {
-      aStream.mStep = aSlowness * (aIsReading ? kReadingStep : kPlainStep);
-      aStream.mEvent += aStream.mStep;
+    if (aStream.mStepLeft <= 0) {
+      aStream.mStepLeft =
+        aSlowness * (aIsPrefilling ? kPrefillStep : kDecodeStep);
+      aStream.mEventTime += aStream.mStepLeft;
     }
-    --aStream.mStep;
-    if (aStream.mStep > 0) {
+    --aStream.mStepLeft;
+    if (aStream.mStepLeft > 0) {
       return;
     }
-    --aStream.mLeft;
-    if (aStream.mLeft % kTokensOfEvent == 0) {
-      aStream.mHasPaused = aStream.mHasPaused || aStream.mEvent > kMostPause;
-      aStream.mEvent = 0;
+    --aStream.mTokensLeft;
+    if (aStream.mTokensLeft % kTokensOfEvent == 0) {
+      aStream.mHasPaused = aStream.mHasPaused || aStream.mEventTime > kMaxPause;
+      aStream.mEventTime = 0;
     }
   }
 
@@ -146,28 +149,27 @@
   RandomSource mRandom{ 5 };
   std::vector<Engine> mEngines;
   std::vector<RelayCandidate> mCandidates;
-  Ended mEnded;
+  StreamCounts mCounts;
 };
 
 double
 ShareThatPaused(const RelayChoiceSettings& aSettings)
 {
-  const auto ended = EnginesThatReadEverything(aSettings).Play();
-  return static_cast<double>(ended.mPaused) / ended.mAll;
+  const auto counts = EngineSimulation(aSettings).Run();
+  return static_cast<double>(counts.mPaused) / counts.mAll;
 }
 
 } // namespace
 
-// Two of a prompt's order and 20,000 tokens of lead: 93 in 1,000 streams
-// paused; six and 3,000: 0.
-// With 20,000 tokens of lead and two of a prompt's order 117 of 2,953 streams
-// paused for too long, with 3,000 and six 5 of 2,945.
-TEST(AfterNewWeights, LessThanOneStreamInAHundredPausesForReading)
+// With a lead of 20,000 tokens and two candidates, 117 of 2,953 streams pause
+// for too long; with 3,000 tokens and six candidates, 5 of 2,945. An earlier
+// measurement had 93 of 1,000 and none.
+TEST(AfterNewWeights, LessThanOneStreamInAHundredPausesForPrefill)
 {
   EXPECT_LT(ShareThatPaused({}), 0.01);
 }
 
-TEST(AfterNewWeights, WithALongerLeadAndTwoOfTheOrderManyDo)
+TEST(AfterNewWeights, WithALongerLeadAndTwoCandidatesManyDo)
 {
   RelayChoiceSettings settings;
   settings.mMaxLeadTokens = 20000;
--- a/packages/state/tests/placement_test.cpp
+++ b/packages/state/tests/placement_test.cpp
@@ -1,5 +1,5 @@
-// The story of a choice: rendezvous order, demand, groups, and the table of
-// endpoints that they choose from.
+// Endpoint selection: rendezvous order, demand, groups, and the table of
+// endpoints.
 
 #include <set>
 
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(GivenRendezvousMembers, OneThatGoesMovesOnlyItsOwnKeys)
+TEST(GivenRendezvousMembers, RemovingOneMovesOnlyItsOwnKeys)
 {
   const auto members = Members(20);
   auto fewer = members;
@@ -65,10 +65,10 @@
   DemandTracker mTracker{ { std::chrono::duration<double>(2.0), 100 } };
 };
 
-TEST_F(GivenDemand, ASteadyRateIsFoundAndForgotten)
+TEST_F(GivenDemand, ASteadyRateIsMeasuredAndDecays)
 {
   for (int i = 0; i < 400; ++i) {
-    mTracker.Add(1, 0.03, mClock.Now()); // 0.3 s a second
+    mTracker.Add(1, 0.03, mClock.Now()); // 0.3 s per second
     mClock.Advance(Millis(100));
   }
   EXPECT_NEAR(mTracker.Rate(1, mClock.Now()), 0.3, 0.03);
@@ -122,21 +122,21 @@
   EXPECT_TRUE(mTable.Usable("another", mClock.Now()).empty());
 }
 
-TEST_F(GivenEndpoints, OneThatSaysItLeavesGetsNoneWhateverTheListSays)
+TEST_F(GivenEndpoints, OneThatAnnouncesItsLeavingGetsNoneWhateverTheListSays)
 {
   const auto handle = mTable.Find("e3");
   mTable.NoteLeaving(handle, mClock.Now());
   EXPECT_EQ(Usable().size(), 11U);
-  mTable.Update(mConfig, mInstances); // The list still calls it live.
+  mTable.Update(mConfig, mInstances); // It is still listed as live.
   EXPECT_EQ(Usable().size(), 11U);
   {
-    SCOPED_TRACE("its word is forgotten in the end");
+    SCOPED_TRACE("its announcement expires in the end");
     mClock.Advance(kReportedLeavingTtl);
     EXPECT_EQ(Usable().size(), 12U);
   }
 }
 
-TEST_F(GivenEndpoints, OneThatTheListCallsLeavingGetsNone)
+TEST_F(GivenEndpoints, OneThatIsListedAsLeavingGetsNone)
 {
   mInstances[5].mIsLeaving = true;
   mTable.Update(mConfig, mInstances);
@@ -187,7 +187,7 @@
     EXPECT_EQ(Usable().size(), 11U);
   }
   {
-    SCOPED_TRACE("a good one heals");
+    SCOPED_TRACE("a successful trial makes it healthy");
     mTable.At({ 1 }).mHealth.Succeeded();
     EXPECT_EQ(mTable.At({ 1 }).mHealth.State(), HealthState::kHealthy);
   }
@@ -201,7 +201,7 @@
   EXPECT_EQ(Usable().size(), 12U);
 }
 
-class AnswerPolicies : public GivenEndpoints
+class WithChooserPolicies : public GivenEndpoints
 {
 protected:
   std::unique_ptr<EndpointChooser> Make(ChoicePolicy aPolicy)
@@ -221,18 +221,18 @@
     return query;
   }
 
-  std::set<std::uint32_t> Asked(EndpointChooser& aChooser,
-                                int aTimes,
-                                std::size_t aLimit = 3)
+  std::set<std::uint32_t> Chosen(EndpointChooser& aChooser,
+                                 int aTimes,
+                                 std::size_t aLimit = 3)
   {
-    std::set<std::uint32_t> asked;
+    std::set<std::uint32_t> chosen;
     for (int i = 0; i < aTimes; ++i) {
       for (const auto handle :
            aChooser.Candidates(Query(), Usable(), aLimit, mClock.Now())) {
-        asked.insert(handle.mIndex);
+        chosen.insert(handle.mIndex);
       }
     }
-    return asked;
+    return chosen;
   }
 
   std::size_t mRouters = 1;
@@ -240,50 +240,50 @@
   std::vector<PrefixLevel> mLevels{ { 77, 20 }, { 88, 36 } };
 };
 
-TEST_F(AnswerPolicies, EveryPolicyNamesOnlyUsableEndpoints)
+TEST_F(WithChooserPolicies, EveryPolicyNamesOnlyUsableEndpoints)
 {
   mTable.NoteLeaving({ 4 }, mClock.Now());
   for (std::size_t i = 0; i < 5; ++i) {
     SCOPED_TRACE(kChoicePolicyNames.mNames[i]);
     auto chooser = Make(static_cast<ChoicePolicy>(i));
-    const auto asked = Asked(*chooser, 50);
-    EXPECT_FALSE(asked.empty());
-    EXPECT_FALSE(asked.contains(4));
+    const auto chosen = Chosen(*chooser, 50);
+    EXPECT_FALSE(chosen.empty());
+    EXPECT_FALSE(chosen.contains(4));
     EXPECT_TRUE(chooser->Candidates(Query(), {}, 3, mClock.Now()).empty());
   }
 }
 
-TEST_F(AnswerPolicies, AColdPrefixStaysWithItsOwnThree)
+TEST_F(WithChooserPolicies, AColdPrefixStaysWithTheSameThree)
 {
   auto chooser = Make(ChoicePolicy::kNestedGroups);
-  EXPECT_EQ(Asked(*chooser, 50).size(), 3U);
+  EXPECT_EQ(Chosen(*chooser, 50).size(), 3U);
 }
 
-TEST_F(AnswerPolicies, AsSetByDefaultAColdPrefixIsAlwaysAskedOfTheSame)
+TEST_F(WithChooserPolicies, ByDefaultAColdPrefixIsAlwaysProbedAtTheSame)
 {
   auto chooser = Make(ChoicePolicy::kNestedGroups);
   const std::size_t probes = ChooserSettings().mProbes;
-  EXPECT_EQ(Asked(*chooser, 50, probes).size(), probes);
+  EXPECT_EQ(Chosen(*chooser, 50, probes).size(), probes);
 }
 
-TEST_F(AnswerPolicies, AHotPrefixWidensByItsDemand)
+TEST_F(WithChooserPolicies, TheGroupOfAHotPrefixGrowsWithItsDemand)
 {
   auto chooser = Make(ChoicePolicy::kNestedGroups);
   for (int i = 0; i < 100; ++i) {
-    chooser->NoteSent(Query(), 0.2, mClock.Now()); // 2 s a second
+    chooser->NoteSent(Query(), 0.2, mClock.Now()); // 2 s per second
     mClock.Advance(Millis(100));
   }
-  const auto width = Asked(*chooser, 100).size();
+  const auto width = Chosen(*chooser, 100).size();
   EXPECT_GE(width, 4U);
   EXPECT_LE(width, 5U);
   {
-    SCOPED_TRACE("and more so where more routers share the traffic");
+    SCOPED_TRACE("it is larger if more routers share the traffic");
     mRouters = 2;
-    EXPECT_GT(Asked(*chooser, 100).size(), width);
+    EXPECT_GT(Chosen(*chooser, 100).size(), width);
   }
 }
 
-TEST_F(AnswerPolicies, LeastLoadRemembersWhatItSent)
+TEST_F(WithChooserPolicies, LeastLoadCountsWhatItSent)
 {
   auto chooser = Make(ChoicePolicy::kLeastLoad);
   for (std::uint32_t i = 0; i < 12; ++i) {
--- a/packages/state/tests/prefix_test.cpp
+++ b/packages/state/tests/prefix_test.cpp
@@ -1,4 +1,4 @@
-// The story of a prefix: its name, and what an engine holds of it.
+// Prefix hashes, and the index of the blocks that an engine has cached.
 
 #include <random>
 #include <set>
@@ -32,7 +32,7 @@
   EXPECT_EQ(mChain.mLevels[1].mHash, mChain.mBlocks.back());
 }
 
-TEST_F(GivenAPrompt, MoreLevelsThanAreLookedAtAreJoined)
+TEST_F(GivenAPrompt, LevelsBeyondTheLimitAreMerged)
 {
   mLevels.assign(7, std::string(kBlockBytes, 'x'));
   const auto chain = BuildPrefixChain(mScope, mLevels);
@@ -69,7 +69,7 @@
     ExpectNothingShared({ "clinic-north", "crew-notes", 4 });
   }
   {
-    SCOPED_TRACE("a team whose name runs into the model's");
+    SCOPED_TRACE("a team whose name is that of the team and model joined");
     ExpectNothingShared({ "clinic-northcrew-notes", "", 3 });
   }
 }
@@ -103,13 +103,14 @@
 class GivenAnEngine : public ::testing::Test
 {
 protected:
-  void SetUp() override { mIndex.Restart(kFirstLife); }
+  void SetUp() override { mIndex.Restart(kFirstIncarnation); }
 
   BlockIndex::Outcome Store(std::uint64_t aSequence,
                             PrefixHash aBlock,
-                            Incarnation aLife = kFirstLife)
+                            Incarnation aIncarnation = kFirstIncarnation)
   {
-    return mIndex.Apply({ aLife, aSequence, CacheEventKind::kStored, aBlock });
+    return mIndex.Apply(
+      { aIncarnation, aSequence, CacheEventKind::kStored, aBlock });
   }
 
   std::uint32_t Cached()
@@ -118,8 +119,8 @@
     return mIndex.CachedBlocks(std::span(chain));
   }
 
-  static constexpr Incarnation kFirstLife = 100;
-  static constexpr Incarnation kSecondLife = 200;
+  static constexpr Incarnation kFirstIncarnation = 100;
+  static constexpr Incarnation kSecondIncarnation = 200;
   BlockIndex mIndex;
 };
 
@@ -129,9 +130,9 @@
   EXPECT_EQ(Cached(), 0U);
   Store(2, 11);
   EXPECT_EQ(Cached(), 2U);
-  mIndex.Apply({ kFirstLife, 3, CacheEventKind::kEvicted, 12 });
+  mIndex.Apply({ kFirstIncarnation, 3, CacheEventKind::kEvicted, 12 });
   EXPECT_EQ(Cached(), 1U);
-  mIndex.Apply({ kFirstLife, 4, CacheEventKind::kCleared, 0 });
+  mIndex.Apply({ kFirstIncarnation, 4, CacheEventKind::kCleared, 0 });
   EXPECT_EQ(Cached(), 0U);
 }
 
@@ -149,28 +150,28 @@
 
 TEST_F(ThatHasCached, ACrashEmptiesTheIndex)
 {
-  mIndex.Restart(kSecondLife);
+  mIndex.Restart(kSecondIncarnation);
   EXPECT_EQ(Cached(), 0U);
   {
-    SCOPED_TRACE("late events of the dead life are dropped");
+    SCOPED_TRACE("late events of the former incarnation are dropped");
     EXPECT_EQ(Store(3, 11), BlockIndex::Outcome::kStale);
     EXPECT_EQ(Cached(), 0U);
   }
   {
-    SCOPED_TRACE("events of the new life count");
-    EXPECT_EQ(Store(1, 11, kSecondLife), BlockIndex::Outcome::kApplied);
+    SCOPED_TRACE("events of the new incarnation are applied");
+    EXPECT_EQ(Store(1, 11, kSecondIncarnation), BlockIndex::Outcome::kApplied);
     EXPECT_EQ(Cached(), 1U);
   }
 }
 
-TEST_F(ThatHasCached, AGapForgetsWhatMayHaveBeenEvicted)
+TEST_F(ThatHasCached, AGapEmptiesTheIndex)
 {
   EXPECT_EQ(Store(4, 13), BlockIndex::Outcome::kGap);
   EXPECT_EQ(Cached(), 0U);
   EXPECT_EQ(mIndex.Gaps(), 1U);
 }
 
-TEST_F(ThatHasCached, DoubledEventsChangeNothing)
+TEST_F(ThatHasCached, DuplicateEventsAreIgnored)
 {
   EXPECT_EQ(Store(2, 13), BlockIndex::Outcome::kStale);
   EXPECT_EQ(mIndex.Size(), 2U);
@@ -183,123 +184,124 @@
   EXPECT_EQ(Store(1, 11, 0), BlockIndex::Outcome::kStale);
 }
 
-/// An engine that may crash, and events that may be lost, late or doubled.
-class EngineModel
+/// Model of an engine that may crash and whose events may be lost, late or
+/// duplicated.
+class CacheModel
 {
 public:
-  /// @param aNoticesCrashes  false to see what happens without incarnations
-  explicit EngineModel(BlockIndex& aIndex, bool aNoticesCrashes = true)
+  /// @param aDetectsCrashes  false: the index is not told of new incarnations
+  explicit CacheModel(BlockIndex& aIndex, bool aDetectsCrashes = true)
     : mIndex(aIndex)
-    , mNoticesCrashes(aNoticesCrashes)
+    , mDetectsCrashes(aDetectsCrashes)
   {
-    mIndex.Restart(mLife);
+    mIndex.Restart(mIncarnation);
   }
 
-  /// The engine crashes and comes back empty.
+  /// The engine crashes and restarts with an empty cache.
   void Crash()
   {
-    ++mLife;
+    ++mIncarnation;
     mSequence = 0;
-    mLastLost = false;
-    mHeld.clear();
+    mIsLastLost = false;
+    mCached.clear();
     mEverStored.clear();
-    if (mNoticesCrashes) {
-      mIndex.Restart(mLife);
+    if (mDetectsCrashes) {
+      mIndex.Restart(mIncarnation);
     }
   }
 
   /// The engine stores or evicts a block; the event may be lost.
-  void Emit(CacheEventKind aKind, PrefixHash aBlock, bool aIsLost)
+  void Change(CacheEventKind aKind, PrefixHash aBlock, bool aIsLost)
   {
     if (aKind == CacheEventKind::kStored) {
-      mHeld.insert(aBlock);
+      mCached.insert(aBlock);
       mEverStored.insert(aBlock);
     } else {
-      mHeld.erase(aBlock);
+      mCached.erase(aBlock);
     }
     ++mSequence;
-    mLastLost = aIsLost;
+    mIsLastLost = aIsLost;
     if (!aIsLost) {
-      mFlying.push_back({ mLife, mSequence, aKind, aBlock });
+      mInFlight.push_back({ mIncarnation, mSequence, aKind, aBlock });
     }
   }
 
-  /// Everything on its way arrives; the oldest event arrives once more.
+  /// Delivers all events in flight, then the oldest of them once more.
   void Deliver()
   {
-    const auto flying = std::exchange(mFlying, {});
-    for (const auto& event : flying) {
+    const auto inFlight = std::exchange(mInFlight, {});
+    for (const auto& event : inFlight) {
       mIndex.Apply(event);
     }
-    if (!flying.empty()) {
-      mIndex.Apply(flying.front());
+    if (!inFlight.empty()) {
+      mIndex.Apply(inFlight.front());
     }
   }
 
-  /// Whether the index says that a block is cached.
-  bool IsSaid(PrefixHash aBlock) const
+  /// Whether the index reports a block as cached.
+  bool IsReported(PrefixHash aBlock) const
   {
     const std::vector<PrefixHash> chain{ aBlock };
     return mIndex.CachedBlocks(std::span(chain)) == 1;
   }
 
-  bool IsHeld(PrefixHash aBlock) const { return mHeld.contains(aBlock); }
+  bool IsCached(PrefixHash aBlock) const { return mCached.contains(aBlock); }
   bool WasStored(PrefixHash aBlock) const
   {
     return mEverStored.contains(aBlock);
   }
 
-  /// Whether all is known: nothing flies, and the last event was not lost.
-  bool IsSettled() const { return mFlying.empty() && !mLastLost; }
+  /// Whether no event is in flight and the last one was not lost.
+  bool IsUpToDate() const { return mInFlight.empty() && !mIsLastLost; }
 
 private:
   BlockIndex& mIndex;
-  bool mNoticesCrashes;
-  Incarnation mLife = 1;
+  bool mDetectsCrashes;
+  Incarnation mIncarnation = 1;
   std::uint64_t mSequence = 0;
-  bool mLastLost = false;
-  std::set<PrefixHash> mHeld;
-  std::set<PrefixHash> mEverStored; ///< in this life
-  std::vector<CacheEvent> mFlying;
+  bool mIsLastLost = false;
+  std::set<PrefixHash> mCached;
+  std::set<PrefixHash> mEverStored; ///< in this incarnation
+  std::vector<CacheEvent> mInFlight;
 };
 
 constexpr PrefixHash kBlocks = 4;
 
 void
-Step(EngineModel& aEngine, std::uint8_t aChoice)
+Step(CacheModel& aModel, std::uint8_t aChoice)
 {
   const PrefixHash block = aChoice / 16 % kBlocks + 1;
   const bool isLost = aChoice / 64 == 3;
   switch (aChoice % 8) {
     case 0:
-      aEngine.Crash();
+      aModel.Crash();
       break;
     case 1:
     case 2:
     case 3:
-      aEngine.Emit(CacheEventKind::kStored, block, isLost);
+      aModel.Change(CacheEventKind::kStored, block, isLost);
       break;
     case 4:
     case 5:
-      aEngine.Emit(CacheEventKind::kEvicted, block, isLost);
+      aModel.Change(CacheEventKind::kEvicted, block, isLost);
       break;
     default:
-      aEngine.Deliver();
+      aModel.Deliver();
       break;
   }
 }
 
-/// Whether nothing is said to be cached that a dead life has left, and, once
-/// no event is missing, nothing that was evicted.
+/// Whether the index reports no block of a former incarnation, and, if no event
+/// is missing, none that was evicted.
 bool
-IsTrue(const EngineModel& aEngine)
+IsConsistent(const CacheModel& aModel)
 {
   for (PrefixHash block = 1; block <= kBlocks; ++block) {
-    const bool isSaid = aEngine.IsSaid(block);
-    if (isSaid && !aEngine.WasStored(block)) {
+    const bool isReported = aModel.IsReported(block);
+    if (isReported && !aModel.WasStored(block)) {
       return false;
     }
-    if (isSaid && aEngine.IsSettled() && !aEngine.IsHeld(block)) {
+    if (isReported && aModel.IsUpToDate() && !aModel.IsCached(block)) {
       return false;
     }
   }
@@ -307,30 +309,30 @@
 }
 
 RC_GTEST_PROP(GeneratedCacheEvents,
-              NothingIsSaidToBeCachedThatTheLivingEngineDoesNotHold,
+              NoBlockIsReportedThatTheRunningEngineDoesNotHold,
               (const std::vector<std::uint8_t>& aSchedule))
 {
   BlockIndex index;
-  EngineModel engine(index);
+  CacheModel engine(index);
   for (const std::uint8_t choice : aSchedule) {
     Step(engine, choice);
-    RC_ASSERT(IsTrue(engine));
+    RC_ASSERT(IsConsistent(engine));
   }
 }
 
-TEST(WithoutIncarnations, ADeadEnginesBlocksAreSaidToBeCached)
+TEST(WithoutIncarnations, BlocksOfACrashedEngineAreReportedAsCached)
 {
-  int lies = 0;
+  int falseReports = 0;
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     BlockIndex index;
-    EngineModel engine(index, false);
+    CacheModel engine(index, false);
     for (int step = 0; step < 60; ++step) {
       Step(engine, static_cast<std::uint8_t>(random()));
-      lies += IsTrue(engine) ? 0 : 1;
+      falseReports += IsConsistent(engine) ? 0 : 1;
     }
   }
-  EXPECT_GT(lies, 0);
+  EXPECT_GT(falseReports, 0);
 }
 
 } // namespace
--- a/packages/state/tests/relay_state_test.cpp
+++ b/packages/state/tests/relay_state_test.cpp
@@ -1,5 +1,5 @@
-// The story of what a relay decides: who exists, who loads when, where a
-// request goes, and what may be repeated.
+// Decisions of a relay: which endpoints exist, when engines load new weights,
+// where a request is sent, and how many repeats are allowed.
 
 #include <deque>
 #include <set>
@@ -63,28 +63,28 @@
   EndpointDirectory mDirectory;
 };
 
-TEST_F(GivenADirectory, AnEntryThatGoesWhileTheListWorksIsGoneAtOnce)
+TEST_F(GivenADirectory, AnEntryRemovedWhileTheListIsAvailableIsGoneAtOnce)
 {
   mDirectory.Remove("a", mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
 
-TEST_F(GivenADirectory, ARestartedEndpointReplacesItsFormerLife)
+TEST_F(GivenADirectory, ARestartedEndpointReplacesItsFormerEntry)
 {
   mDirectory.Put(Endpoint("c", "1:1", 9), mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "b", "c" }));
-  // The former entry is still written to: that makes it no newer.
+  // Updates of the former entry don't make it the newer one.
   mDirectory.Put(Endpoint("a", "1:1", 12), mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "b", "c" }));
 }
 
-class WhoseListWasAway : public GivenADirectory
+class WhoseListWasUnavailable : public GivenADirectory
 {
 protected:
-  WhoseListWasAway() { mDirectory.NoteOutage(mClock.Now()); }
+  WhoseListWasUnavailable() { mDirectory.NoteOutage(mClock.Now()); }
 };
 
-TEST_F(WhoseListWasAway, AnEntryThatLapsedStaysUntilTheGraceHasPassed)
+TEST_F(WhoseListWasUnavailable, AnEntryThatLapsedStaysUntilTheGraceHasPassed)
 {
   mDirectory.MergeList({ Endpoint("b", "2:1") }, mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "a", "b" }));
@@ -95,7 +95,7 @@
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
 
-TEST_F(WhoseListWasAway, AnEntryThatComesBackStays)
+TEST_F(WhoseListWasUnavailable, AnEntryThatComesBackStays)
 {
   mDirectory.Remove("a", mClock.Now());
   mDirectory.Put(Endpoint("a", "1:1"), mClock.Now());
@@ -104,12 +104,12 @@
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "a", "b" }));
 }
 
-// What users saw: see the story of WhoseWatchOfTheListIsDead. Order of events:
-// an entry's removal is heard soon after an outage; from then on the list
-// works, and now and then a call fails, as one that comes over a limit of
-// calls. Cause: each failed call put the end of every removed entry off by the
-// grace.
-TEST_F(WhoseListWasAway, CallsThatFailNowAndThenDoNotKeepARemovedEntry)
+// Guards against requests that are sent to endpoints seconds after these
+// announced that they leave; see WhoseWatchOfTheListIsDead. The removal of an
+// entry is received soon after an outage. Then the list is available, but now
+// and then a call fails, such as one over the rate limit. Each failed call
+// postponed the end of every removed entry by the grace period.
+TEST_F(WhoseListWasUnavailable, CallsThatFailNowAndThenDoNotKeepARemovedEntry)
 {
   mDirectory.Remove("a", mClock.Now());
   for (int i = 0; i < 20; ++i) {
@@ -122,7 +122,7 @@
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
 
-TEST_F(WhoseListWasAway, AnotherOutageKeepsOneForAsLongAsItLasts)
+TEST_F(WhoseListWasUnavailable, AnotherOutageKeepsOneForAsLongAsItLasts)
 {
   mDirectory.Remove("a", mClock.Now());
   for (int i = 0; i < 10; ++i) {
@@ -137,7 +137,7 @@
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
 
-TEST_F(WhoseListWasAway, OneThatSaidItLeavesGoesAtOnce)
+TEST_F(WhoseListWasUnavailable, OneThatAnnouncedItsLeavingIsRemovedAtOnce)
 {
   auto leaving = Endpoint("a", "1:1");
   leaving.mIsLeaving = true;
@@ -161,16 +161,16 @@
   LoadScheduleSettings mSettings;
 };
 
-TEST_F(GivenEngines, AFifthLoadsAtOnceAndEachHasATurn)
+TEST_F(GivenEngines, AFifthLoadsAtATimeAndEachIsScheduled)
 {
   const auto order = WeightLoadSequence(mEngines, { "m", 3 });
   ASSERT_EQ(order.size(), 9U);
-  std::map<Millis, int> atOnce;
+  std::map<Millis, int> loadsByStart;
   for (const auto& engine : mEngines) {
-    ++atOnce[LoadStartOf(order, engine.mId, mSettings).value()];
+    ++loadsByStart[LoadStartOf(order, engine.mId, mSettings).value()];
   }
-  EXPECT_EQ(atOnce.size(), 5U);
-  for (const auto& [turn, count] : atOnce) {
+  EXPECT_EQ(loadsByStart.size(), 5U);
+  for (const auto& [start, count] : loadsByStart) {
     EXPECT_LE(count, 2);
   }
 }
@@ -180,7 +180,7 @@
   EXPECT_EQ(WeightLoadSequence(mEngines, { "m", 3 }).front(), "e4");
 }
 
-TEST_F(GivenEngines, LeavingOnesHaveNoTurn)
+TEST_F(GivenEngines, LeavingOnesAreNotScheduled)
 {
   mEngines[4].mIsLeaving = true;
   const auto order = WeightLoadSequence(mEngines, { "m", 3 });
@@ -224,7 +224,7 @@
   EXPECT_NE(Choose(), first);
 }
 
-TEST_F(GivenCandidates, TheSecondTakesItIfItAloneKeepsThePart)
+TEST_F(GivenCandidates, TheSecondTakesItIfItAloneHasThePartCached)
 {
   const auto first = Choose();
   mCandidates[first].mQueuedTokens = mSettings.mMaxLeadTokens + 1;
@@ -257,12 +257,12 @@
   EXPECT_EQ(Choose(), first);
 }
 
-TEST_F(GivenCandidates, ASmallPromptGoesWhereLeastRunsAndWaits)
+TEST_F(GivenCandidates, ASmallPromptGoesToTheLeastLoaded)
 {
   RandomSource random(1);
   for (auto& candidate : mCandidates) {
     candidate.mIsSameZone = true;
-    candidate.mQueuedTokens = 3 * mSettings.mTokensOfRunning;
+    candidate.mQueuedTokens = 3 * mSettings.mTokensPerRequest;
   }
   mCandidates[2].mQueuedTokens = 0;
   mCandidates[2].mRunning = 2;
@@ -271,9 +271,10 @@
   EXPECT_NE(ChooseByLoad(mCandidates, std::nullopt, mSettings, random), 2U);
 }
 
-// One request of ten crashed the endpoint that they shared. Chosen by prompt,
-// all ten would meet again; apart, each meets the culprit where chance has it.
-TEST(ChooseForSuspect, SendsThoseThatRanTogetherDifferentWays)
+// One of ten requests crashed the endpoint that they shared. Placed by prompt,
+// all ten would share an endpoint again; placed apart, the others share one
+// with the request that crashed it only by chance.
+TEST(ChooseForSuspect, SpreadsRequestsThatRanTogether)
 {
   constexpr std::uint64_t kEndpoints = 8;
   constexpr int kRequests = 800;
@@ -295,7 +296,7 @@
   EXPECT_EQ(chosen.size(), kEndpoints);
   EXPECT_FALSE(ChooseForSuspect({}, 1, {}));
   {
-    SCOPED_TRACE("and none to where another of them runs, if it can be helped");
+    SCOPED_TRACE("an endpoint that runs another of them is avoided");
     const auto first = *ChooseForSuspect(candidates, 1, {});
     candidates[first].mSuspectRequests = 1;
     EXPECT_NE(ChooseForSuspect(candidates, 1, {}), first);
@@ -306,16 +307,16 @@
   }
 }
 
-// Notes of a team share 200 tokens that are not worth a move. Wherever one goes
-// its parts are read, so that they are read again wherever the next one goes.
-class GivenNotesOfManyTeams : public ::testing::Test
+// Short prompts of a team share 200 tokens, too few for a transfer of their
+// parts. They are prefilled on every engine that gets such a prompt.
+class GivenSmallPromptsOfManyTeams : public ::testing::Test
 {
 protected:
   static constexpr std::size_t kEngines = 30;
   static constexpr std::uint64_t kTeams = 200;
-  static constexpr int kNotes = 6000;
+  static constexpr int kRequests = 6000;
 
-  GivenNotesOfManyTeams()
+  GivenSmallPromptsOfManyTeams()
     : mCandidates(kEngines)
   {
     for (std::size_t i = 0; i < kEngines; ++i) {
@@ -333,25 +334,25 @@
     return ChooseByLoad(mCandidates, key, mSettings, mRandom).value();
   }
 
-  /// Serves notes, of which some are always under way; counts for how many the
-  /// engine has read no note of the team before.
-  int CountReadings()
+  /// Places requests, of which some are always running. Counts those for which
+  /// the engine had no request of the team before.
+  int CountPrefills()
   {
-    std::set<std::pair<std::size_t, std::uint64_t>> read;
-    std::deque<std::size_t> underWay;
-    for (int i = 0; i < kNotes; ++i) {
+    std::set<std::pair<std::size_t, std::uint64_t>> prefilled;
+    std::deque<std::size_t> inFlight;
+    for (int i = 0; i < kRequests; ++i) {
       const auto team = mRandom() % kTeams;
       const auto engine = Choose(team);
-      read.emplace(engine, team);
+      prefilled.emplace(engine, team);
       ++mCandidates[engine].mRunning;
       mMostRunning = std::max(mMostRunning, mCandidates[engine].mRunning);
-      underWay.push_back(engine);
-      if (underWay.size() > kEngines / 2) {
-        --mCandidates[underWay.front()].mRunning;
-        underWay.pop_front();
+      inFlight.push_back(engine);
+      if (inFlight.size() > kEngines / 2) {
+        --mCandidates[inFlight.front()].mRunning;
+        inFlight.pop_front();
       }
     }
-    return static_cast<int>(read.size());
+    return static_cast<int>(prefilled.size());
   }
 
   std::vector<RelayCandidate> mCandidates;
@@ -361,18 +362,18 @@
   bool mIsByLoadAlone = false;
 };
 
-// For 200 teams 2,012 readings by load alone, 221 by their parts.
-TEST_F(GivenNotesOfManyTeams, MostFindTheirPartsRead)
+// For 200 teams there are 2,012 prefills by load alone, 221 by their parts.
+TEST_F(GivenSmallPromptsOfManyTeams, MostFindTheirPartsCached)
 {
-  EXPECT_LT(CountReadings(), 2 * static_cast<int>(kTeams));
+  EXPECT_LT(CountPrefills(), 2 * static_cast<int>(kTeams));
   {
-    SCOPED_TRACE("by load alone they are read at almost every engine");
+    SCOPED_TRACE("by load alone they are prefilled on many engines");
     mIsByLoadAlone = true;
-    EXPECT_GT(CountReadings(), 5 * static_cast<int>(kTeams));
+    EXPECT_GT(CountPrefills(), 5 * static_cast<int>(kTeams));
   }
 }
 
-TEST_F(GivenNotesOfManyTeams, ATeamThatSendsMuchIsSpread)
+TEST_F(GivenSmallPromptsOfManyTeams, ATeamThatSendsMuchIsSpread)
 {
   std::set<std::size_t> engines;
   for (int i = 0; i < 40; ++i) {
@@ -383,18 +384,18 @@
   EXPECT_GT(engines.size(), 5U);
 }
 
-TEST_F(GivenNotesOfManyTeams, NoEngineHasManyMoreThanTheOthers)
+TEST_F(GivenSmallPromptsOfManyTeams, NoEngineIsOverloaded)
 {
-  CountReadings();
-  EXPECT_LE(mMostRunning, mSettings.mSmallPartLead + 3);
+  CountPrefills();
+  EXPECT_LE(mMostRunning, mSettings.mMaxSmallPartLead + 3);
 }
 
-class GivenThreePartStores : public ::testing::Test
+class GivenThreeKvStores : public ::testing::Test
 {
 protected:
   static constexpr int kParts = 300;
 
-  /// How many parts each store keeps.
+  /// Number of parts that each store keeps.
   std::map<std::string, int> Shares() const
   {
     std::map<std::string, int> shares;
@@ -409,7 +410,7 @@
                                     { "z", "c:1", "z", 1 } };
 };
 
-TEST_F(GivenThreePartStores, EachKeepsItsShare)
+TEST_F(GivenThreeKvStores, EachKeepsItsShare)
 {
   for (const auto& [store, parts] : Shares()) {
     EXPECT_GT(parts, kParts / 5) << store;
@@ -417,7 +418,7 @@
   EXPECT_EQ(Shares().size(), 3U);
 }
 
-TEST_F(GivenThreePartStores, OneThatGoesMovesOnlyWhatItKept)
+TEST_F(GivenThreeKvStores, RemovingOneMovesOnlyWhatItKept)
 {
   auto left = mStores;
   left.pop_back();
@@ -430,7 +431,7 @@
   }
 }
 
-TEST_F(GivenThreePartStores, AnEngineSavesToTheOneOfItsZone)
+TEST_F(GivenThreeKvStores, AnEngineSavesToTheOneOfItsZone)
 {
   mStores[1].mZone = "own";
   for (int i = 0; i < kParts; ++i) {
@@ -440,7 +441,7 @@
   }
 }
 
-TEST_F(GivenThreePartStores, InAZoneWithoutAllAreAsGood)
+TEST_F(GivenThreeKvStores, InAZoneWithoutAStoreAllAreUsed)
 {
   std::set<std::string> stores;
   for (int i = 0; i < kParts; ++i) {
@@ -450,13 +451,13 @@
   EXPECT_EQ(stores.size(), 3U);
 }
 
-TEST_F(GivenThreePartStores, WithoutAnyThereIsNone)
+TEST_F(GivenThreeKvStores, WithoutAnyThereIsNone)
 {
   EXPECT_EQ(StoreOfPart({}, "s/1", "z"), nullptr);
 }
 
 RC_GTEST_PROP(GeneratedRepeats,
-              NoWindowHoldsMoreThanTheBudget,
+              NoWindowExceedsTheBudget,
               (const std::vector<std::uint8_t>& aSteps))
 {
   ManualClock clock;
@@ -483,7 +484,7 @@
   }
 }
 
-TEST(GivenAConfirmation, ItsAgeIsCountedFromTheAsking)
+TEST(GivenAConfirmation, ItsAgeIsCountedFromTheQuestion)
 {
   ManualClock clock;
   Freshness freshness;
@@ -491,12 +492,12 @@
   freshness.Confirm(clock.Now());
   clock.Advance(3s);
   EXPECT_EQ(freshness.Age(clock.Now()), 3s);
-  // An answer to an older question that came late changes nothing.
+  // A late answer to an older question changes nothing.
   freshness.Confirm(clock.Now() - 5s);
   EXPECT_EQ(freshness.Age(clock.Now()), 3s);
 }
 
-TEST(GivenAnIndexOfParts, HoldersComeAndGo)
+TEST(GivenAnIndexOfParts, HoldersAreAddedAndRemoved)
 {
   PartIndex index;
   index.Apply("e1", true, { "s/a", "s/b" }, {});
@@ -510,17 +511,17 @@
   EXPECT_TRUE(index.Holders("s/a").empty());
 }
 
-TEST(GivenALedger, TheLeastRecentlyUsedIsForgotten)
+TEST(GivenPartRecords, TheLeastRecentlyUsedIsEvicted)
 {
   ManualClock clock;
-  PartRecordTable ledger(2);
-  ledger.At("s/a").mServedAt = clock.Now();
-  ledger.At("s/b").mServedAt = clock.Now();
-  ledger.At("s/a");
-  ledger.At("s/c");
-  EXPECT_EQ(ledger.Size(), 2U);
-  EXPECT_EQ(ledger.At("s/a").mServedAt, clock.Now());
-  EXPECT_EQ(ledger.At("s/b").mServedAt, TimePoint());
+  PartRecordTable records(2);
+  records.At("s/a").mServedAt = clock.Now();
+  records.At("s/b").mServedAt = clock.Now();
+  records.At("s/a");
+  records.At("s/c");
+  EXPECT_EQ(records.Size(), 2U);
+  EXPECT_EQ(records.At("s/a").mServedAt, clock.Now());
+  EXPECT_EQ(records.At("s/b").mServedAt, TimePoint());
 }
 
 class GivenRules : public ::testing::Test
--- a/packages/state/tests/stream_test.cpp
+++ b/packages/state/tests/stream_test.cpp
@@ -1,5 +1,5 @@
-// The story of a stream: tokens once and in order over several attempts, and
-// never an end that looks whole before it is.
+// Streams deliver each token once and in order over several attempts, and a
+// truncated stream never looks complete.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -36,7 +36,7 @@
   EXPECT_FALSE(mGate.Completes(mAttempt, 4));
 }
 
-TEST_F(GivenAnAttempt, DoubledTokensAreDropped)
+TEST_F(GivenAnAttempt, DuplicateTokensAreDropped)
 {
   mGate.Offer(mAttempt, 0, 2);
   EXPECT_EQ(mGate.Offer(mAttempt, 0, 2), Verdict::kDrop);
@@ -48,7 +48,7 @@
   EXPECT_EQ(mGate.Offer(mAttempt, 1, 1), Verdict::kGap);
 }
 
-TEST_F(GivenAnAttempt, TokensOfAnotherLifeAreDropped)
+TEST_F(GivenAnAttempt, TokensOfAnotherIncarnationAreDropped)
 {
   EXPECT_EQ(mGate.Offer({ mAttempt.mNumber, 8 }, 0, 1), Verdict::kDrop);
 }
@@ -83,18 +83,19 @@
   EXPECT_TRUE(mGate.Completes(next, 4));
 }
 
-/// What may be taken out, to see that the promise then breaks.
+/// Mechanisms that may be disabled to show that streams break without them.
 struct StreamMechanisms
 {
-  bool mHasGate = true;   ///< attempts and offsets are looked at
-  bool mCountsEnd = true; ///< an end counts only after all its tokens
+  bool mHasGate = true;   ///< attempts and offsets are checked
+  bool mChecksEnd = true; ///< an end counts only after all tokens
 };
 
-/// Frames of several attempts, lost, doubled, late and crossed.
-class StreamWorld
+/// Model of a stream with several attempts, whose frames may be lost,
+/// duplicated, late or reordered.
+class StreamModel
 {
 public:
-  explicit StreamWorld(const StreamMechanisms& aMechanisms)
+  explicit StreamModel(const StreamMechanisms& aMechanisms)
     : mMechanisms(aMechanisms)
   {
     for (int i = 0; i < kTokens; ++i) {
@@ -137,21 +138,21 @@
   void Step(std::uint8_t aChoice)
   {
     switch (aChoice % 8) {
-      case 0: // The engine dies; the request is resumed elsewhere.
+      case 0: // The engine crashes; the request is resumed elsewhere.
         mGate.CloseAttempt();
         OpenAttempt();
         break;
       case 1: // A frame is lost.
-        if (!mFlying.empty()) {
-          mFlying.erase(mFlying.begin());
+        if (!mInFlight.empty()) {
+          mInFlight.erase(mInFlight.begin());
         }
         break;
-      case 2: // A frame is doubled.
-        if (!mFlying.empty()) {
-          mFlying.push_back(mFlying[aChoice / 8 % mFlying.size()]);
+      case 2: // A frame is duplicated.
+        if (!mInFlight.empty()) {
+          mInFlight.push_back(mInFlight[aChoice / 8 % mInFlight.size()]);
         }
         break;
-      case 3: // Any frame arrives, out of turn.
+      case 3: // Any frame arrives, out of order.
         Arrive(aChoice / 8);
         break;
       case 4:
@@ -159,7 +160,7 @@
         Arrive(0);
         break;
       default: // The engine sends the next token, or the end.
-        mFlying.push_back({ mAttempt, mSent, mSent == kTokens });
+        mInFlight.push_back({ mAttempt, mSent, mSent == kTokens });
         mSent += mSent == kTokens ? 0 : 1;
         break;
     }
@@ -167,13 +168,13 @@
 
   void Arrive(std::size_t aWhich)
   {
-    if (mFlying.empty()) {
+    if (mInFlight.empty()) {
       return;
     }
-    const auto at =
-      mFlying.begin() + static_cast<std::ptrdiff_t>(aWhich % mFlying.size());
+    const auto at = mInFlight.begin() +
+                    static_cast<std::ptrdiff_t>(aWhich % mInFlight.size());
     const Frame frame = *at;
-    mFlying.erase(at);
+    mInFlight.erase(at);
     if (frame.mIsEnd) {
       if (Completes(frame.mAttempt)) {
         mHistory.mStreams.push_back({ 1, true });
@@ -197,7 +198,7 @@
     if (!mMechanisms.mHasGate) {
       return true;
     }
-    return mMechanisms.mCountsEnd ? mGate.Completes(aAttempt, kTokens)
+    return mMechanisms.mChecksEnd ? mGate.Completes(aAttempt, kTokens)
                                   : mGate.Matches(aAttempt);
   }
 
@@ -206,50 +207,51 @@
   StreamGate mGate;
   AttemptId mAttempt;
   std::uint32_t mSent = 0;
-  std::vector<Frame> mFlying;
+  std::vector<Frame> mInFlight;
   bool mIsOver = false;
 };
 
 RC_GTEST_PROP(GeneratedStreams,
-              AreInOrderAndWholeOrDoNotLookWhole,
+              AreInOrderAndNeverLookCompleteTooEarly,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  RC_ASSERT(CheckStreams(StreamWorld({}).Run(aSchedule)).empty());
+  RC_ASSERT(CheckStreams(StreamModel({}).Run(aSchedule)).empty());
 }
 
 class WithoutAStreamsMechanism : public ::testing::Test
 {
 protected:
-  /// Schedules of 500 after which a stream was scrambled, cut or another's.
-  static int Broken(const StreamMechanisms& aMechanisms)
+  /// Number of schedules, out of 500, after which a stream had wrong, missing
+  /// or misplaced tokens.
+  static int CountBroken(const StreamMechanisms& aMechanisms)
   {
     int broken = 0;
     ForEachSchedule(500, [&](const auto& aSchedule) {
-      const auto history = StreamWorld(aMechanisms).Run(aSchedule);
+      const auto history = StreamModel(aMechanisms).Run(aSchedule);
       broken += CheckStreams(history).empty() ? 0 : 1;
     });
     return broken;
   }
 };
 
-TEST_F(WithoutAStreamsMechanism, NoneTakenOutSomeStreamsEndAndNoneIsBroken)
+TEST_F(WithoutAStreamsMechanism, WithAllOfThemStreamsEndAndNoneIsBroken)
 {
-  EXPECT_EQ(Broken({}), 0);
-  int whole = 0;
+  EXPECT_EQ(CountBroken({}), 0);
+  int complete = 0;
   ForEachSchedule(500, [&](const auto& aSchedule) {
-    whole += StreamWorld({}).Run(aSchedule).mStreams.front().mLooksComplete;
+    complete += StreamModel({}).Run(aSchedule).mStreams.front().mLooksComplete;
   });
-  EXPECT_GT(whole, 0) << "the schedules must let some streams end";
+  EXPECT_GT(complete, 0) << "the schedules must let some streams end";
 }
 
-TEST_F(WithoutAStreamsMechanism, WithoutTheGateStreamsAreScrambled)
+TEST_F(WithoutAStreamsMechanism, WithoutTheGateTokensAreOutOfOrder)
 {
-  EXPECT_GT(Broken({ .mHasGate = false }), 0);
+  EXPECT_GT(CountBroken({ .mHasGate = false }), 0);
 }
 
-TEST_F(WithoutAStreamsMechanism, WithoutTheCountACutStreamLooksWhole)
+TEST_F(WithoutAStreamsMechanism, WithoutTheCountATruncatedStreamLooksComplete)
 {
-  EXPECT_GT(Broken({ .mCountsEnd = false }), 0);
+  EXPECT_GT(CountBroken({ .mChecksEnd = false }), 0);
 }
 
 } // namespace
--- a/packages/state/tests/warming_test.cpp
+++ b/packages/state/tests/warming_test.cpp
@@ -1,5 +1,5 @@
-// The story of an event's start: its shared prefix is computed ahead, where
-// routers will ask for it, by as many endpoints as the parameters say.
+// Warming before an event starts: its shared prefix is computed on the
+// endpoints that routers will probe first, on as many as the parameters say.
 
 #include <gtest/gtest.h>
 
@@ -44,7 +44,7 @@
     mConfig.mParameters = { parameters };
   }
 
-  std::vector<std::string> Warmers(std::int64_t aBefore)
+  std::vector<std::string> WarmingEndpoints(std::int64_t aBefore)
   {
     const std::int64_t start = kSixOClock + 30LL * 60 * 1000;
     std::vector<std::string> names;
@@ -61,34 +61,34 @@
   std::vector<InstanceInfo> mInstances;
 };
 
-TEST_F(GivenAnEvent, NobodyWarmsLongBeforeOrAfter)
+TEST_F(GivenAnEvent, NoneWarmsLongBeforeOrAfter)
 {
-  EXPECT_TRUE(Warmers(kWarmLead.count() + 1000).empty());
-  EXPECT_TRUE(Warmers(-1000).empty());
+  EXPECT_TRUE(WarmingEndpoints(kWarmLead.count() + 1000).empty());
+  EXPECT_TRUE(WarmingEndpoints(-1000).empty());
 }
 
 TEST_F(GivenAnEvent, JustBeforeAsManyWarmAsWereAskedFor)
 {
-  EXPECT_EQ(Warmers(30000).size(), 2U);
+  EXPECT_EQ(WarmingEndpoints(30000).size(), 2U);
   mConfig.mParameters[0].mWarmEndpoints = 5;
-  EXPECT_EQ(Warmers(30000).size(), 5U);
+  EXPECT_EQ(WarmingEndpoints(30000).size(), 5U);
   mConfig.mParameters[0].mWarmEndpoints = 0;
-  EXPECT_TRUE(Warmers(30000).empty());
+  EXPECT_TRUE(WarmingEndpoints(30000).empty());
 }
 
 TEST_F(GivenAnEvent, OneThatLeavesIsReplaced)
 {
-  const auto before = Warmers(30000);
+  const auto before = WarmingEndpoints(30000);
   for (auto& instance : mInstances) {
     instance.mIsLeaving = instance.mName == before[0];
   }
-  const auto after = Warmers(30000);
+  const auto after = WarmingEndpoints(30000);
   EXPECT_EQ(after.size(), 2U);
   EXPECT_EQ(std::count(after.begin(), after.end(), before[0]), 0);
   EXPECT_EQ(std::count(after.begin(), after.end(), before[1]), 1);
 }
 
-TEST_F(GivenAnEvent, TheyAreThoseThatRoutersAskFirst)
+TEST_F(GivenAnEvent, TheyAreThoseThatRoutersProbeFirst)
 {
   EndpointTable table{ EndpointTableSettings{} };
   table.Update(mConfig, mInstances);
@@ -99,9 +99,11 @@
   WarmTask task{ "t", "m", mConfig.mParameters[0].mSharedText };
   const auto chain = BuildPrefixChain({ "t", "m", 1 }, task.Levels());
   const ChoiceQuery query{ "t", "m", chain.mLevels, 40 };
-  const auto asked = chooser->Candidates(query, table.Usable("m", now), 3, now);
-  for (const auto& name : Warmers(30000)) {
-    EXPECT_EQ(std::count(asked.begin(), asked.end(), table.Find(name)), 1)
+  const auto candidates =
+    chooser->Candidates(query, table.Usable("m", now), 3, now);
+  for (const auto& name : WarmingEndpoints(30000)) {
+    EXPECT_EQ(
+      std::count(candidates.begin(), candidates.end(), table.Find(name)), 1)
       << name;
   }
 }
