--- a/packages/state/tests/placement_load_test.cpp
+++ b/packages/state/tests/placement_load_test.cpp
@@ -59,10 +59,10 @@
 
 /// Simulates engines in virtual time, with prompts and streams placed by
 /// ChooseByPart and ChooseByLoad.
-class EngineSimulation
+class PrefillSimulation
 {
 public:
-  explicit EngineSimulation(const RelayChoiceSettings& aSettings)
+  explicit PrefillSimulation(const RelayChoiceSettings& aSettings)
     : mSettings(aSettings)
     , mEngines(kEngines)
     , mCandidates(kEngines)
@@ -155,7 +155,7 @@
 double
 ShareThatPaused(const RelayChoiceSettings& aSettings)
 {
-  const auto counts = EngineSimulation(aSettings).Run();
+  const auto counts = PrefillSimulation(aSettings).Run();
   return static_cast<double>(counts.mPaused) / counts.mAll;
 }
 
--- a/packages/state/tests/placement_test.cpp
+++ b/packages/state/tests/placement_test.cpp
@@ -122,7 +122,7 @@
   EXPECT_TRUE(mTable.Usable("another", mClock.Now()).empty());
 }
 
-TEST_F(GivenEndpoints, OneThatAnnouncesItsLeavingGetsNoneWhateverTheListSays)
+TEST_F(GivenEndpoints, OneThatReportsItsLeavingGetsNoneWhateverTheListSays)
 {
   const auto handle = mTable.Find("e3");
   mTable.NoteLeaving(handle, mClock.Now());
@@ -130,7 +130,7 @@
   mTable.Update(mConfig, mInstances); // It is still listed as live.
   EXPECT_EQ(Usable().size(), 11U);
   {
-    SCOPED_TRACE("its announcement expires in the end");
+    SCOPED_TRACE("its report expires in the end");
     mClock.Advance(kReportedLeavingTtl);
     EXPECT_EQ(Usable().size(), 12U);
   }
--- a/packages/state/tests/prefix_test.cpp
+++ b/packages/state/tests/prefix_test.cpp
@@ -184,13 +184,13 @@
   EXPECT_EQ(Store(1, 11, 0), BlockIndex::Outcome::kStale);
 }
 
-/// Model of an engine that may crash and whose events may be lost, late or
+/// Simulates an engine that may crash and whose events may be lost, late or
 /// duplicated.
-class CacheModel
+class CacheSimulation
 {
 public:
   /// @param aDetectsCrashes  false: the index is not told of new incarnations
-  explicit CacheModel(BlockIndex& aIndex, bool aDetectsCrashes = true)
+  explicit CacheSimulation(BlockIndex& aIndex, bool aDetectsCrashes = true)
     : mIndex(aIndex)
     , mDetectsCrashes(aDetectsCrashes)
   {
@@ -268,25 +268,25 @@
 constexpr PrefixHash kBlocks = 4;
 
 void
-Step(CacheModel& aModel, std::uint8_t aChoice)
+Step(CacheSimulation& aSimulation, std::uint8_t aChoice)
 {
   const PrefixHash block = aChoice / 16 % kBlocks + 1;
   const bool isLost = aChoice / 64 == 3;
   switch (aChoice % 8) {
     case 0:
-      aModel.Crash();
+      aSimulation.Crash();
       break;
     case 1:
     case 2:
     case 3:
-      aModel.Change(CacheEventKind::kStored, block, isLost);
+      aSimulation.Change(CacheEventKind::kStored, block, isLost);
       break;
     case 4:
     case 5:
-      aModel.Change(CacheEventKind::kEvicted, block, isLost);
+      aSimulation.Change(CacheEventKind::kEvicted, block, isLost);
       break;
     default:
-      aModel.Deliver();
+      aSimulation.Deliver();
       break;
   }
 }
@@ -294,14 +294,15 @@
 /// Whether the index reports no block of a former incarnation, and, if no event
 /// is missing, none that was evicted.
 bool
-IsConsistent(const CacheModel& aModel)
+IsConsistent(const CacheSimulation& aSimulation)
 {
   for (PrefixHash block = 1; block <= kBlocks; ++block) {
-    const bool isReported = aModel.IsReported(block);
-    if (isReported && !aModel.WasStored(block)) {
+    const bool isReported = aSimulation.IsReported(block);
+    if (isReported && !aSimulation.WasStored(block)) {
       return false;
     }
-    if (isReported && aModel.IsUpToDate() && !aModel.IsCached(block)) {
+    if (isReported && aSimulation.IsUpToDate() &&
+        !aSimulation.IsCached(block)) {
       return false;
     }
   }
@@ -313,7 +314,7 @@
               (const std::vector<std::uint8_t>& aSchedule))
 {
   BlockIndex index;
-  CacheModel engine(index);
+  CacheSimulation engine(index);
   for (const std::uint8_t choice : aSchedule) {
     Step(engine, choice);
     RC_ASSERT(IsConsistent(engine));
@@ -326,7 +327,7 @@
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     BlockIndex index;
-    CacheModel engine(index, false);
+    CacheSimulation engine(index, false);
     for (int step = 0; step < 60; ++step) {
       Step(engine, static_cast<std::uint8_t>(random()));
       falseReports += IsConsistent(engine) ? 0 : 1;
--- a/packages/state/tests/relay_state_test.cpp
+++ b/packages/state/tests/relay_state_test.cpp
@@ -84,7 +84,7 @@
   WhoseListWasUnavailable() { mDirectory.NoteOutage(mClock.Now()); }
 };
 
-TEST_F(WhoseListWasUnavailable, AnEntryThatLapsedStaysUntilTheGraceHasPassed)
+TEST_F(WhoseListWasUnavailable, AnExpiredEntryStaysUntilTheGraceHasPassed)
 {
   mDirectory.MergeList({ Endpoint("b", "2:1") }, mClock.Now());
   EXPECT_EQ(IdsOf(mDirectory), (Ids{ "a", "b" }));
@@ -105,7 +105,7 @@
 }
 
 // Guards against requests that are sent to endpoints seconds after these
-// announced that they leave; see WhoseWatchOfTheListIsDead. The removal of an
+// reported that they leave; see WhoseWatchOfTheListIsDead. The removal of an
 // entry is received soon after an outage. Then the list is available, but now
 // and then a call fails, such as one over the rate limit. Each failed call
 // postponed the end of every removed entry by the grace period.
@@ -137,7 +137,7 @@
   EXPECT_EQ(IdsOf(mDirectory), Ids{ "b" });
 }
 
-TEST_F(WhoseListWasUnavailable, OneThatAnnouncedItsLeavingIsRemovedAtOnce)
+TEST_F(WhoseListWasUnavailable, OneThatReportedItsLeavingIsRemovedAtOnce)
 {
   auto leaving = Endpoint("a", "1:1");
   leaving.mIsLeaving = true;
@@ -484,7 +484,7 @@
   }
 }
 
-TEST(GivenAConfirmation, ItsAgeIsCountedFromTheQuestion)
+TEST(GivenAConfirmation, ItsAgeIsCountedFromTheQuery)
 {
   ManualClock clock;
   Freshness freshness;
@@ -492,7 +492,7 @@
   freshness.Confirm(clock.Now());
   clock.Advance(3s);
   EXPECT_EQ(freshness.Age(clock.Now()), 3s);
-  // A late answer to an older question changes nothing.
+  // A late answer to an older query changes nothing.
   freshness.Confirm(clock.Now() - 5s);
   EXPECT_EQ(freshness.Age(clock.Now()), 3s);
 }
--- a/packages/state/tests/stream_test.cpp
+++ b/packages/state/tests/stream_test.cpp
@@ -90,12 +90,12 @@
   bool mChecksEnd = true; ///< an end counts only after all tokens
 };
 
-/// Model of a stream with several attempts, whose frames may be lost,
+/// Simulates a stream with several attempts, whose frames may be lost,
 /// duplicated, late or reordered.
-class StreamModel
+class StreamSimulation
 {
 public:
-  explicit StreamModel(const StreamMechanisms& aMechanisms)
+  explicit StreamSimulation(const StreamMechanisms& aMechanisms)
     : mMechanisms(aMechanisms)
   {
     for (int i = 0; i < kTokens; ++i) {
@@ -215,7 +215,7 @@
               AreInOrderAndNeverLookCompleteTooEarly,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  RC_ASSERT(CheckStreams(StreamModel({}).Run(aSchedule)).empty());
+  RC_ASSERT(CheckStreams(StreamSimulation({}).Run(aSchedule)).empty());
 }
 
 class WithoutAStreamsMechanism : public ::testing::Test
@@ -227,7 +227,7 @@
   {
     int broken = 0;
     ForEachSchedule(500, [&](const auto& aSchedule) {
-      const auto history = StreamModel(aMechanisms).Run(aSchedule);
+      const auto history = StreamSimulation(aMechanisms).Run(aSchedule);
       broken += CheckStreams(history).empty() ? 0 : 1;
     });
     return broken;
@@ -239,7 +239,8 @@
   EXPECT_EQ(CountBroken({}), 0);
   int complete = 0;
   ForEachSchedule(500, [&](const auto& aSchedule) {
-    complete += StreamModel({}).Run(aSchedule).mStreams.front().mLooksComplete;
+    complete +=
+      StreamSimulation({}).Run(aSchedule).mStreams.front().mLooksComplete;
   });
   EXPECT_GT(complete, 0) << "the schedules must let some streams end";
 }
