--- a/packages/state/include/shuntjunction/state/claim_machine.h
+++ b/packages/state/include/shuntjunction/state/claim_machine.h
@@ -8,16 +8,16 @@
 #include "shuntjunction/state/enum_names.h"
 #include "shuntjunction/state/error.h"
 
-/// The claim that lets a not-repeatable request run at most once.
+/// Claims that let a non-repeatable request run at most once.
 namespace shuntjunction::state {
 
-/// A claim as it stands in the platform.
+/// A claim as stored in the platform.
 struct ClaimRecord
 {
-  std::string mNonce;      ///< of the claimant
+  std::string mNonce;      ///< identifies the claimant
   std::string mBodyDigest; ///< SHA-256 of the request
   std::int64_t mCreatedAtMillis = 0;
-  bool mIsDone = false; ///< the outcome below is recorded
+  bool mIsDone = false; ///< the outcome fields below are set
   unsigned mStatus = 0;
   std::string mContentType;
   std::string mBody;
@@ -27,22 +27,22 @@
   bool operator==(const ClaimRecord&) const = default;
 };
 
-/// A record as JSON text, and back.
+/// Serializes a record to JSON, and parses it.
 std::string
 WriteClaimRecord(const ClaimRecord& aRecord);
 Result<ClaimRecord>
 ReadClaimRecord(std::string_view aText);
 
-/// What the owner of a ClaimMachine is to do next.
+/// The next action for the owner of a ClaimMachine.
 enum class ClaimStep : std::uint8_t
 {
-  kCreate,      ///< create the record, on condition that none exists
+  kCreate,      ///< create the record if none exists
   kReadBack,    ///< read the record
-  kExecute,     ///< the claim is held: hand the request over, once
+  kExecute,     ///< the claim is held: execute the request, once
   kReplay,      ///< answer with the recorded outcome
-  kHeldByOther, ///< another holds the claim and its outcome is not recorded
+  kHeldByOther, ///< another claimant holds it and has recorded no outcome
   kKeyReused,   ///< the key was used with another body
-  kUndecided,   ///< refuse, not run; clear up what may have been written
+  kUndecided,   ///< refuse as not run; delete what may have been written
 };
 
 /// Names of ClaimStep.
@@ -54,18 +54,19 @@
                                                             "key-reused",
                                                             "undecided" } };
 
-/// Decides a claim from the platform's answers, lost ones included.
+/// State machine that decides a claim from the platform's responses, some of
+/// which may be lost.
 ///
-///     create --ok--> hand over
-///     create --conflict or no answer--> read back
-///     read back --own nonce--> hand over
-///     read back --other nonce--> replay, taken, or key reused
+///     create --ok--> execute
+///     create --conflict or no response--> read back
+///     read back --own nonce--> execute
+///     read back --other nonce--> replay, held by other, or key reused
 ///     read back --absent--> create again (it is conditional)
-///     any --out of time--> undecided
+///     create or read back --timeout--> undecided
 ///
-/// The request is handed over only in kExecute, which is entered at most
-/// once and never left. A create whose answer was lost may still take effect
-/// after kUndecided; nothing was run then, so the record may be deleted.
+/// The request is executed only in kExecute, which is entered at most once and
+/// never left. A create whose response was lost may still take effect after
+/// kUndecided; nothing has been executed by then, so the record may be deleted.
 /// Thread safety: none; owned by the request.
 class ClaimMachine
 {
@@ -75,22 +76,22 @@
   ClaimMachine(const ClaimMachine&) = delete;
   ClaimMachine& operator=(const ClaimMachine&) = delete;
 
-  /// What to do now.
+  /// The next action.
   ClaimStep Step() const;
 
-  /// Takes the answer to a create.
+  /// Handles the response to a create.
   void OnCreateResult(const Result<std::uint64_t>& aRevision);
 
-  /// Takes the answer to a read; empty when there is no record.
+  /// Handles the response to a read; empty when there is no record.
   void OnReadResult(const Result<std::optional<ClaimRecord>>& aRecord);
 
-  /// No time is left to settle the claim.
+  /// Gives up: no time is left to settle the claim.
   void OnTimeout();
 
-  /// Whether a create may have taken effect, now or later.
+  /// Whether a create took effect, or may still do so.
   bool MayHaveWritten() const;
 
-  /// The other's record, in kReplay, kHeldByOther and kKeyReused.
+  /// The other claimant's record, in kReplay, kHeldByOther and kKeyReused.
   const ClaimRecord& ExistingRecord() const;
 
   /// The record to create.
--- a/packages/state/include/shuntjunction/state/clock.h
+++ b/packages/state/include/shuntjunction/state/clock.h
@@ -4,16 +4,17 @@
 #include <cstdint>
 #include <random>
 
-/// Time and chance as interfaces, so that decisions run by a seed in tests.
+/// Clocks and random numbers as interfaces, so that tests can run with a fixed
+/// seed.
 namespace shuntjunction::state {
 
-/// A monotonic clock that goes on while the machine is suspended.
+/// A monotonic clock that keeps running while the machine is suspended.
 ///
-/// The steady clock stands still then: a machine that slept for seconds took
-/// keys, lists and leases for as fresh as before, and held requests past their
+/// The steady clock stops then: a machine that had been suspended for seconds
+/// treated keys, lists and leases as still fresh, and held requests past their
 /// deadlines for as long as it had slept.
 ///
-/// Thread safety: may be asked from any thread.
+/// Thread safety: may be read from any thread.
 struct BootClock
 {
   using duration = std::chrono::nanoseconds;
@@ -22,11 +23,11 @@
   using time_point = std::chrono::time_point<BootClock>;
   static constexpr bool is_steady = true; // NOLINT: a standard clock's name
 
-  /// Time since the machine was started.
+  /// Time since boot.
   static time_point now() noexcept; // NOLINT: a standard clock's name
 };
 
-/// A point on that clock.
+/// A point in time of the BootClock.
 using TimePoint = BootClock::time_point;
 
 /// Whole milliseconds.
@@ -40,14 +41,15 @@
 public:
   virtual ~Clock() = default;
 
-  /// Monotonic time; stands still for no pause of the process or the machine.
+  /// Monotonic time; does not stop while the process is paused or the machine
+  /// is suspended.
   virtual TimePoint Now() const = 0;
 
   /// Milliseconds since the Unix epoch, for records that outlive a process.
   virtual std::int64_t WallMillis() const = 0;
 };
 
-/// The machine's clocks.
+/// The operating system's clocks.
 class SystemClock final : public Clock
 {
 public:
@@ -60,9 +62,9 @@
   }
 };
 
-/// A clock that moves only when told to.
+/// A clock that moves only when it is advanced.
 ///
-/// Thread safety: none; for tests and models on one thread.
+/// Thread safety: none; for single-threaded tests and models.
 class ManualClock final : public Clock
 {
 public:
@@ -83,7 +85,7 @@
   TimePoint mNow = TimePoint(std::chrono::hours(1000));
 };
 
-/// Source of random numbers; a thread owns its own.
+/// Random number generator; each thread has its own.
 using RandomSource = std::mt19937_64;
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/config_objects.h
+++ b/packages/state/include/shuntjunction/state/config_objects.h
@@ -12,10 +12,10 @@
 #include "shuntjunction/state/request_types.h"
 #include "shuntjunction/state/team_limiter.h"
 
-/// The kinds of object that operators declare.
+/// The kinds of configuration object that operators write.
 namespace shuntjunction::state {
 
-/// Kinds of configuration object; the name is the middle part of its key,
+/// Kinds of configuration object; the name is the middle part of the key, as in
 /// "config/teams/riga".
 enum class ConfigKind : std::uint8_t
 {
@@ -37,22 +37,22 @@
                                                               "services",
                                                               "epoch" } };
 
-/// All configuration objects stand below this prefix in the platform.
+/// Key prefix of all configuration objects in the platform.
 inline constexpr std::string_view kConfigPrefix = "config/";
 
-/// The object that holds the epoch of the configuration.
+/// Key of the object that holds the configuration epoch.
 inline constexpr std::string_view kEpochKey = "config/epoch/current";
 
-/// A team and how its requests are known.
+/// A team and the keys that identify its requests.
 struct TeamConfig
 {
   std::string mName;
-  std::vector<std::string> mKeyDigests; ///< SHA-256 of its bearer keys, as hex
+  std::vector<std::string> mKeyDigests; ///< SHA-256 of its bearer keys, in hex
   UsageLimit mLimit;                    ///< in requests
-  double mWeight = 1.0;                 ///< share among teams of a class
+  double mWeight = 1.0; ///< relative share among the teams of a class
 };
 
-/// A model and the weights version in force.
+/// A model and its active weights version.
 struct ModelConfig
 {
   std::string mName;
@@ -60,25 +60,25 @@
   std::vector<std::string> mAdapters;
 };
 
-/// A kind of event with its urgency.
+/// A kind of event and the urgency of its requests.
 struct TemplateConfig
 {
   std::string mName;
-  std::string mEvent;               ///< what starts, for people
+  std::string mEvent;               ///< description of the event, for people
   std::vector<std::string> mLevels; ///< names of the prompt levels
   Priority mUrgency = Priority::kOrdinary;
   bool mIsRepeatable = true;
 };
 
-/// A team's parameters of a template.
+/// A team's parameters for a template.
 struct ParametersConfig
 {
   std::string mTeam;
   std::string mTemplate;
   std::string mModel;
-  std::vector<std::string> mStartTimes; ///< "HH:MM", UTC
+  std::vector<std::string> mStartTimes; ///< as "HH:MM", UTC
   std::vector<std::string> mSharedText; ///< texts of the outer prompt levels
-  std::int64_t mWarmEndpoints = 1;      ///< endpoints warmed before a start
+  std::int64_t mWarmEndpoints = 1;      ///< endpoints to warm before each start
 };
 
 /// Role of a model engine.
@@ -94,7 +94,7 @@
   { "both", "prefill", "decode" }
 };
 
-/// What an endpoint is to serve: a model or a plain service.
+/// What an endpoint serves: a model or a plain service.
 struct EndpointConfig
 {
   std::string mName;
@@ -118,7 +118,7 @@
   std::string mName;
 };
 
-/// Takes a platform key apart.
+/// Parses a platform key.
 Result<ConfigKey>
 ParseConfigKey(std::string_view aKey);
 
@@ -126,7 +126,8 @@
 std::string
 FormatConfigKey(const ConfigKey& aKey);
 
-/// Reads of each kind; errors name the key, what was found and is allowed.
+/// Parsers of each kind; errors name the key, the value found and what is
+/// allowed.
 /// Thread safety: pure.
 Result<TeamConfig>
 ReadTeam(std::string_view aName, const boost::json::value& aValue);
@@ -143,7 +144,7 @@
 Result<std::uint64_t>
 ReadEpoch(const boost::json::value& aValue);
 
-/// Checks an object of any kind without keeping it.
+/// Validates an object of any kind.
 Result<void>
 CheckConfigObject(std::string_view aKey, const boost::json::value& aValue);
 
--- a/packages/state/include/shuntjunction/state/enum_names.h
+++ b/packages/state/include/shuntjunction/state/enum_names.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-/// Tables of names for enumerations, one table beside each enumeration.
+/// Tables of names for enumerations, one table next to each enumeration.
 namespace shuntjunction::state {
 
 /// Names of an enumeration whose values count up from zero.
@@ -18,14 +18,14 @@
   /// Number of values.
   static constexpr std::size_t Size() { return Count; }
 
-  /// Name of a value; "?" when the value is outside the table.
+  /// Name of a value; "?" for a value outside the table.
   constexpr std::string_view Name(Enum aValue) const
   {
     const auto index = static_cast<std::size_t>(aValue);
     return index < Count ? mNames[index] : std::string_view("?");
   }
 
-  /// Value of a name; empty when no value has it.
+  /// Value with a name; empty when there is none.
   constexpr std::optional<Enum> Parse(std::string_view aName) const
   {
     for (std::size_t i = 0; i < Count; ++i) {
--- a/packages/state/include/shuntjunction/state/json_reader.h
+++ b/packages/state/include/shuntjunction/state/json_reader.h
@@ -11,41 +11,41 @@
 
 #include "shuntjunction/state/error.h"
 
-/// Checked reading of JSON objects: every error names the key, what was found
-/// and what is allowed.
+/// Validated reading of JSON objects: every error names the key, the value
+/// found and what is allowed.
 namespace shuntjunction::state {
 
 /// Parses JSON text; comments and trailing commas are allowed.
 ///
-/// @param aWhat  what the text is, for the error ("settings file a.json")
+/// @param aWhat  name of the text in errors, as "settings file a.json"
 Result<boost::json::value>
 ParseJson(std::string_view aText, std::string_view aWhat);
 
-/// The same of a text that several others wrote parts of: bytes that are no
-/// text, and deep nesting, spoil the part that they stand in and no other.
+/// Parses JSON to which several others contribute: invalid UTF-8 and deep
+/// nesting spoil only the part that contains them.
 ///
 /// Thread safety: pure.
 Result<boost::json::value>
 ParseUntrustedJson(std::string_view aText, std::string_view aWhat);
 
-/// Reads the members of one object and remembers the first error.
+/// Reads the members of one object and keeps the first error.
 ///
-/// Read every known key, then call Finish: it also refuses keys that nobody
-/// asked for.
+/// Read every known key, then call Finish: it also rejects keys that were not
+/// read.
 /// Thread safety: none.
 class JsonReader
 {
 public:
-  /// @param aPath  where the object stands, as "teams/riga" or ""
+  /// @param aPath  path of the object in errors, as "teams/riga" or ""
   /// @pre   aValue outlives the reader
   JsonReader(const boost::json::value& aValue, std::string_view aPath);
   JsonReader(boost::json::value&& aValue, std::string_view aPath) = delete;
 
-  /// A text; aDefault when the key is absent, an error when that is empty.
+  /// A string; aDefault when the key is absent, an error without a default.
   std::string Text(std::string_view aKey,
                    std::optional<std::string> aDefault = std::nullopt);
 
-  /// A whole number within bounds.
+  /// An integer within bounds.
   std::int64_t Integer(std::string_view aKey,
                        std::int64_t aMin,
                        std::int64_t aMax,
@@ -57,13 +57,13 @@
                 double aMax,
                 std::optional<double> aDefault = std::nullopt);
 
-  /// True or false.
+  /// A boolean.
   bool Flag(std::string_view aKey, std::optional<bool> aDefault = std::nullopt);
 
-  /// A list of texts; empty when absent.
+  /// A list of strings; empty when absent.
   std::vector<std::string> Texts(std::string_view aKey);
 
-  /// A value of an enumeration by its name.
+  /// An enumeration value by its name.
   template<typename Enum, std::size_t Count>
   Enum Name(std::string_view aKey,
             const EnumNames<Enum, Count>& aNames,
@@ -84,34 +84,34 @@
   /// The value of a key; null when absent.
   const boost::json::value* Find(std::string_view aKey);
 
-  /// Notes an error of a key.
+  /// Records an error of a key, unless there is an earlier one.
   void AddError(std::string_view aKey,
                 std::string_view aFound,
                 std::string_view aAllowed);
 
-  /// Takes over the error of a nested reader, if it has one.
+  /// Takes over the error of a nested reader, if any.
   void Merge(const Result<void>& aNested);
 
-  /// Where a key stands, as errors name it.
+  /// Path of a key, as errors name it.
   std::string KeyPath(std::string_view aKey) const;
 
-  /// The first error, or success; refuses unknown keys.
+  /// The first error, or success; rejects unknown keys.
   Result<void> Finish();
 
-  /// The first error, or success; passes over unknown keys, for objects that
-  /// others write and may add to.
+  /// The first error, or success; ignores unknown keys, for objects that others
+  /// write and may extend.
   Result<void> FinishLenient() const;
 
 private:
   const boost::json::object* mObject = nullptr;
   std::string mPath;
-  std::vector<std::string> mKnown;
+  std::vector<std::string> mKnownKeys;
   std::optional<Error> mError;
 };
 
-/// Reads each object of a list that has to be there and holds nothing else.
+/// Reads each object of a list, which is required and may contain nothing else.
 ///
-/// @param aRead  called with a reader of each
+/// @param aRead  called with a reader of each object
 template<typename Function>
 void
 ReadList(JsonReader& aReader, std::string_view aKey, Function aRead)
--- a/packages/state/include/shuntjunction/state/object_mirror.h
+++ b/packages/state/include/shuntjunction/state/object_mirror.h
@@ -11,97 +11,104 @@
 #include "shuntjunction/state/error.h"
 #include "shuntjunction/state/raw_object.h"
 
-/// The platform's objects as one process tells them to others.
+/// A copy of the platform's objects that one process serves to others.
 namespace shuntjunction::state {
 
-/// Changes that are kept for those who lack only these, at most.
+/// Maximum number of changes that are kept for incremental updates.
 inline constexpr std::size_t kMaxMirroredChanges = 1024;
 
-/// How far the objects below a prefix are known.
+/// How current the objects under a prefix are.
 struct MirroredTopic
 {
   std::uint64_t mKnownRevision = 0; ///< revision up to which they are known
-  std::uint64_t mSince = 0; ///< revision from which every change is kept
-  TimePoint mAsOf; ///< all that the platform knew by then is known here
+  std::uint64_t mHistoryStart = 0;  ///< a revision; every later change is kept
+  TimePoint mAsOf; ///< all that the platform held at this time is known here
 };
 
-/// What a mirror tells of a topic.
+/// Status of a topic, as a mirror sends it.
 struct TopicStatus
 {
   std::string mPrefix;
   std::uint64_t mKnownRevision = 0;
-  Millis mAge{ 0 }; ///< of what is known, when it was told
+  Millis mAge{ 0 }; ///< of the known state, when it was sent
 };
 
-/// What a mirror tells: all its objects, or what changed since it told before.
+/// What a mirror sends: all its objects, or the changes since an earlier
+/// update.
 struct MirrorUpdate
 {
-  std::uint64_t mEpoch = 0;    ///< of the mirror; others count otherwise
-  std::uint64_t mSequence = 0; ///< to ask from next
+  std::uint64_t mEpoch = 0;    ///< of the mirror; sequences count within it
+  std::uint64_t mSequence = 0; ///< to request the next update from
   bool mIsWhole = false;
-  std::optional<Millis> mTroubleAge; ///< since the platform failed it last
+  std::optional<Millis> mPlatformFailureAge; ///< since the last failure
   std::vector<TopicStatus> mTopics;
-  std::vector<RawObject> mChanges; ///< deleted ones have no value
+  std::vector<RawObject> mChanges; ///< deleted objects have no value
 
-  /// What it tells of a prefix; null when nothing.
+  /// Status of a prefix; null when there is none.
   const TopicStatus* Topic(std::string_view aPrefix) const;
 };
 
-/// A page as JSON text, and back.
+/// Serializes an update to JSON, and parses it.
 ///
 /// Thread safety: pure.
 std::string
-WriteMirrorUpdate(const MirrorUpdate& aPage);
+WriteMirrorUpdate(const MirrorUpdate& aUpdate);
 Result<MirrorUpdate>
 ReadMirrorUpdate(std::string_view aText, std::string_view aPeer);
 
-/// Keeps objects with their latest changes, for watches and for other mirrors.
+/// Holds objects and their latest changes, for watches and for other mirrors.
 ///
 /// Thread safety: none; owned by one thread.
 class ObjectMirror
 {
 public:
-  /// @param aEpoch  of this mirror, another in each life of a process
+  /// @param aEpoch  of this mirror, another one after each start of a process
   explicit ObjectMirror(std::uint64_t aEpoch);
 
-  /// Takes all objects below a prefix, as of a revision.
+  /// Merges all objects under a prefix, as of a revision.
   void MergeList(std::string_view aPrefix,
                  std::uint64_t aRevision,
                  const std::vector<RawObject>& aObjects,
                  TimePoint aNow);
 
-  /// Takes a changed object; one that is older than what is known changes
+  /// Merges a changed object; one that is older than the known one changes
   /// nothing.
   void MergeChange(const RawObject& aObject, TimePoint aNow);
 
-  /// Notes how far the objects below a prefix are known.
+  /// Updates how current the objects under a prefix are.
   void UpdateTopic(std::string_view aPrefix,
-                   std::uint64_t aKnown,
+                   std::uint64_t aKnownRevision,
                    TimePoint aAsOf);
 
-  /// Notes that the platform failed this process.
-  void NotePlatformFailure(TimePoint aAt) { mTroubleAt = aAt; }
+  /// Records that the platform failed this process.
+  void NotePlatformFailure(TimePoint aAt) { mLastPlatformFailure = aAt; }
 
-  /// When the platform failed it last; empty: never.
-  std::optional<TimePoint> LastPlatformFailure() const { return mTroubleAt; }
+  /// When the platform last failed; empty when it never did.
+  std::optional<TimePoint> LastPlatformFailure() const
+  {
+    return mLastPlatformFailure;
+  }
 
-  /// What another mirror lacks that was told up to a sequence of an epoch.
+  /// What another mirror lacks that has received all up to a sequence of an
+  /// epoch.
   MirrorUpdate UpdateSince(std::uint64_t aEpoch,
                            std::uint64_t aSequence,
                            TimePoint aNow) const;
 
-  /// Takes the answer of another mirror to a question.
+  /// Applies an update from another mirror.
   ///
-  /// @param aAskedAt  when the question was asked
-  void Apply(const MirrorUpdate& aPage, TimePoint aAskedAt, TimePoint aNow);
+  /// @param aRequestedAt  when the update was requested
+  void Apply(const MirrorUpdate& aUpdate,
+             TimePoint aRequestedAt,
+             TimePoint aNow);
 
-  /// How far a prefix is known; null when nothing is.
+  /// How current a prefix is; null when nothing is known.
   const MirroredTopic* Topic(std::string_view aPrefix) const;
 
-  /// All objects below a prefix.
+  /// All objects under a prefix.
   std::vector<RawObject> List(std::string_view aPrefix, TimePoint aNow) const;
 
-  /// Changes below a prefix after a revision; empty when they are not all kept.
+  /// Changes under a prefix after a revision; empty when not all are kept.
   std::optional<std::vector<RawObject>> ChangesAfter(std::string_view aPrefix,
                                                      std::uint64_t aRevision,
                                                      TimePoint aNow) const;
@@ -110,21 +117,21 @@
   struct Entry
   {
     RawObject mObject;
-    TimePoint mHeardAt; ///< by whoever heard of it first
+    TimePoint mReceivedAt; ///< by the first process that received it
     std::uint64_t mSequence = 0;
   };
 
-  static RawObject Aged(const Entry& aEntry, TimePoint aNow);
-  void Append(const RawObject& aObject, TimePoint aHeardAt);
-  MirroredTopic* TopicOf(std::string_view aKey);
+  static RawObject WithAge(const Entry& aEntry, TimePoint aNow);
+  void Append(const RawObject& aObject, TimePoint aReceivedAt);
+  MirroredTopic* FindTopic(std::string_view aKey);
 
   std::uint64_t mEpoch;
   std::uint64_t mSequence = 0;
-  std::uint64_t mFirstKept = 1; ///< sequence of the oldest change that is kept
+  std::uint64_t mOldestSequence = 1; ///< sequence of the oldest change kept
   std::map<std::string, Entry, std::less<>> mObjects;
   std::deque<Entry> mChanges;
   std::map<std::string, MirroredTopic, std::less<>> mTopics; ///< by prefix
-  std::optional<TimePoint> mTroubleAt;
+  std::optional<TimePoint> mLastPlatformFailure;
 };
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/order_machine.h
+++ b/packages/state/include/shuntjunction/state/order_machine.h
@@ -8,10 +8,10 @@
 #include "shuntjunction/state/enum_names.h"
 #include "shuntjunction/state/error.h"
 
-/// The way of an order to an engine, from its fencing number to its answer.
+/// The steps of an order to an engine, from its fencing token to its response.
 namespace shuntjunction::state {
 
-/// Who may order an endpoint's engine, as it stands in the platform.
+/// Who may order an endpoint's engine, as stored in the platform.
 struct FenceRecord
 {
   std::uint64_t mFence = 0;
@@ -20,29 +20,29 @@
   bool operator==(const FenceRecord&) const = default;
 };
 
-/// A record and its revision in the platform.
+/// A record and its platform revision.
 struct StoredFence
 {
   FenceRecord mRecord;
   std::uint64_t mRevision = 0; ///< zero when there is no record
 };
 
-/// A record as JSON text, and back.
+/// Serializes a record to JSON, and parses it.
 std::string
 WriteFenceRecord(const FenceRecord& aRecord);
 Result<FenceRecord>
 ReadFenceRecord(std::string_view aText);
 
-/// What the owner of an OrderMachine is to do next.
+/// The next action for the owner of an OrderMachine.
 enum class OrderStep : std::uint8_t
 {
   kReadFence,    ///< read the record
   kAcquireFence, ///< write Next(), on condition of Revision()
-  kDrain,        ///< take no new work and wait for what runs
-  kRecheckFence, ///< read the record once more
-  kSendOrder,    ///< give the order, with Fence()
-  kCompleted,    ///< the order was answered, or its answer was lost
-  kLost,         ///< another holds the number, or nobody can say: no order
+  kDrain,        ///< accept no new work and wait for what runs
+  kRecheckFence, ///< read the record again
+  kSendOrder,    ///< send the order, with Fence()
+  kCompleted,    ///< the order was answered, or its response was lost
+  kLost,         ///< another or an unknown holder has the token: no order
 };
 
 /// Names of OrderStep.
@@ -50,56 +50,57 @@
   { "read-fence", "take-fence", "drain", "look-again", "order", "over", "lost" }
 };
 
-/// Decides whether a companion may order, from the platform's answers.
+/// State machine that decides from the platform's responses whether a companion
+/// may order.
 ///
-///     read fence --own number--> drain
-///     read fence --another's, or none--> take fence
-///     take fence --written--> drain
-///     take fence --no answer--> read fence
-///     take fence --conflict--> lost
-///     drain --drained--> look again
-///     look again --still the own number--> order
-///     look again --another's, or no answer--> lost
+///     read fence --own token--> drain
+///     read fence --another's token, or none--> acquire fence
+///     acquire fence --written--> drain
+///     acquire fence --no response--> read fence
+///     acquire fence --conflict--> lost
+///     drain --drained--> recheck fence
+///     recheck fence --own token--> send order
+///     recheck fence --another's token, or no response--> lost
 ///
-/// A number belongs to one order for ever, and a later order's is higher, so
-/// that an order which was delayed cannot undo the next one.
-/// An engine that checks numbers so refuses what comes too late; for one that
-/// ignores them the look leaves the time of one call, after which the later
-/// holder finds the engine out of line and orders again.
+/// A token belongs to one order for good, and a later order's token is higher,
+/// so that a delayed order cannot undo the next one.
+/// An engine that checks tokens rejects orders that come too late. For one that
+/// ignores them the recheck leaves a window of one call, after which the later
+/// holder finds the engine in the wrong state and orders again.
 /// Thread safety: none; owned by the companion.
 class OrderMachine
 {
 public:
   /// @param aHolder       nonce of this order
-  /// @param aEngineFence  highest number that the engine says it has seen: a
+  /// @param aEngineFence  highest token that the engine says it has seen: a
   ///                      platform that was restored may hold a lower one
   OrderMachine(std::string aHolder, std::uint64_t aEngineFence);
   ~OrderMachine();
   OrderMachine(const OrderMachine&) = delete;
   OrderMachine& operator=(const OrderMachine&) = delete;
 
-  /// What to do now.
+  /// The next action.
   OrderStep Step() const;
 
-  /// Takes the answer to a read, in kReadFence and kRecheckFence.
-  void OnFenceRead(const Result<StoredFence>& aFound);
+  /// Handles the response to a read, in kReadFence and kRecheckFence.
+  void OnFenceRead(const Result<StoredFence>& aStoredFence);
 
-  /// Takes the answer to the write.
+  /// Handles the response to the write.
   void OnFenceWritten(const Result<std::uint64_t>& aRevision);
 
-  /// Nothing runs any more, or the time for it is over.
+  /// Nothing runs any more, or the time to drain is over.
   void OnDrained();
 
-  /// The order was answered, or its answer was lost.
+  /// The order was answered, or its response was lost.
   void OnOrderSent();
 
   /// The record to write, in kAcquireFence.
   FenceRecord Next() const;
 
-  /// Revision that the write depends on, in kAcquireFence.
+  /// Revision that the write is conditional on, in kAcquireFence.
   std::uint64_t Revision() const;
 
-  /// The number held, from kDrain on.
+  /// The token held, from kDrain on.
   std::uint64_t Fence() const;
 
 private:
--- a/packages/state/include/shuntjunction/state/raw_object.h
+++ b/packages/state/include/shuntjunction/state/raw_object.h
@@ -9,18 +9,18 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Objects as the platform holds them.
+/// Objects as stored in the platform.
 namespace shuntjunction::state {
 
 class JsonReader;
 
-/// An object as the platform holds it.
+/// An object as stored in the platform.
 struct RawObject
 {
   std::string mKey;
   std::uint64_t mRevision = 0; ///< platform revision of its last change
-  std::string mValue;          ///< JSON text; empty when it was deleted
-  /// For how long it is known to whoever told of it; no part of what it says.
+  std::string mValue;          ///< JSON text; empty when deleted
+  /// For how long the sender has known it; not compared.
   Millis mAge{ 0 };
 
   bool operator==(const RawObject& aOther) const
@@ -34,11 +34,11 @@
 boost::json::object
 WriteRawObject(const RawObject& aObject);
 
-/// The object that a reader stands on.
+/// Parses the object that a reader is at.
 RawObject
 ReadRawObject(JsonReader& aReader);
 
-/// The list of objects under a key.
+/// Parses the list of objects under a key.
 std::vector<RawObject>
 ReadRawObjects(JsonReader& aReader, std::string_view aKey);
 
--- a/packages/state/include/shuntjunction/state/recent_changes.h
+++ b/packages/state/include/shuntjunction/state/recent_changes.h
@@ -13,36 +13,38 @@
 /// The latest changes of a configuration, for peers that lack only these.
 namespace shuntjunction::state {
 
-/// Changes that are kept, at most.
+/// Maximum number of changes that are kept.
 inline constexpr std::size_t kMaxRecentChanges = 256;
 
-/// Bytes of values that are kept, at most, but for the newest change.
+/// Maximum size of the values that are kept, in bytes; the newest change is
+/// kept whatever its size.
 inline constexpr std::size_t kMaxRecentBytes = 128UL * 1024;
 
 /// Changes from one version of a configuration to a later one.
 struct ConfigChanges
 {
   std::uint64_t mEpoch = 0;
-  std::uint64_t mSince = 0;  ///< revision of the newest change before them
-  std::uint64_t mNewest = 0; ///< revision of the last of them
-  std::uint64_t mCursor = 0; ///< platform revision that they lead up to
-  std::uint64_t mDigest = 0; ///< ContentDigest after them
-  std::vector<RawObject> mChanges; ///< deleted ones have no value
+  std::uint64_t mBaseRevision = 0; ///< revision of the last change before them
+  std::uint64_t mNewest = 0;       ///< revision of the last of them
+  std::uint64_t mCursor = 0;       ///< platform revision reached after them
+  std::uint64_t mDigest = 0;       ///< ContentDigest of all objects after them
+  std::vector<RawObject> mChanges; ///< deleted objects have no value
 };
 
-/// Digest of one object's key and revision; a configuration's is their sum.
+/// Digest of one object's key and revision; a configuration's is the sum over
+/// its objects.
 ///
 /// Thread safety: pure.
 std::uint64_t
 ContentDigest(const RawObject& aObject);
 
-/// Changes as JSON text, and back.
+/// Serializes changes to JSON, and parses them.
 std::string
 WriteConfigChanges(const ConfigChanges& aChanges);
 Result<ConfigChanges>
 ReadConfigChanges(std::string_view aText, std::string_view aPeer);
 
-/// Whether a peer's text holds changes rather than a whole configuration.
+/// Whether a peer's text holds changes rather than a full configuration.
 bool
 IsConfigChanges(std::string_view aText);
 
@@ -53,22 +55,23 @@
 class RecentChanges
 {
 public:
-  /// Begins anew: what led up to this version is not known.
-  void Restart(std::uint64_t aEpoch, std::uint64_t aNewest);
+  /// Starts over at a version; the changes that led to it are not known.
+  void Reset(std::uint64_t aEpoch, std::uint64_t aNewest);
 
-  /// Adds changes that follow on.
+  /// Adds changes that continue without a gap.
   void Add(std::vector<RawObject> aChanges);
 
-  /// Notes what the configuration is after the changes.
-  void Complete(std::uint64_t aCursor, std::uint64_t aDigest);
+  /// Sets the state of the configuration after the changes.
+  void SetEndState(std::uint64_t aCursor, std::uint64_t aDigest);
 
-  /// Text for a peer that has a version; empty where these changes do not
-  /// reach back so far, or where it is not of this epoch. Zero asks for the
-  /// whole, which changes never are.
-  std::string SerializeSince(std::uint64_t aEpoch, std::uint64_t aHave) const;
+  /// Text for a peer that has a version; empty where these changes do not reach
+  /// back that far, or where it is not of this epoch. Version zero requests the
+  /// full configuration, which changes never are.
+  std::string SerializeSince(std::uint64_t aEpoch,
+                             std::uint64_t aPeerRevision) const;
 
 private:
-  ConfigChanges mKept;
+  ConfigChanges mRetained;
   std::size_t mBytes = 0;
 };
 
--- a/packages/state/include/shuntjunction/state/relay_config.h
+++ b/packages/state/include/shuntjunction/state/relay_config.h
@@ -14,10 +14,10 @@
 #include "shuntjunction/state/endpoint_incarnation.h"
 #include "shuntjunction/state/usage_limit.h"
 
-/// What a relay is told to do: routes, teams, services and limits.
+/// Configuration of a relay: routes, teams, services and limits.
 namespace shuntjunction::state {
 
-/// What may be done with a request whose fate is unknown.
+/// Whether a request may be sent again when it is unknown whether it ran.
 enum class RouteKind : std::uint8_t
 {
   kRepeatable, ///< it may be run more than once
@@ -30,26 +30,26 @@
   { "repeatable", "once", "stream" }
 };
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 struct RouteTarget
 {
   std::string mService;
   double mWeight = 1.0; ///< share relative to the route's other targets
 };
 
-/// How requests of one host and path are served.
+/// How requests of one host and path prefix are served.
 struct RouteRule
 {
   std::string mName;
   std::string mHost;       ///< without a port, in lower case
   std::string mPathPrefix; ///< begins and ends with a slash
   RouteKind mKind = RouteKind::kOnce;
-  bool mIsResumable = false; ///< a stream may go on at another endpoint
-  bool mIsAnonymous = false; ///< needs no key
-  Millis mTimeout{ 30000 };  ///< longest that a request is held
-  Millis mObjective{ 1000 }; ///< to the answer, or to a stream's first event
-  int mUrgency = 5;          ///< 0 goes first
-  int mMaxAttempts = 1;      ///< endpoints that one request may be sent to
+  bool mIsResumable = false; ///< a stream may continue at another endpoint
+  bool mIsAnonymous = false; ///< requires no key
+  Millis mTimeout{ 30000 };  ///< maximum time that a request is held
+  Millis mObjective{ 1000 }; ///< to the response, or to a stream's first event
+  int mUrgency = 5;          ///< 0 is served first
+  int mMaxAttempts = 1;      ///< endpoints that a request may be sent to
   std::vector<RouteTarget> mTargets;
 
   /// Whether a request that may have run may be sent again.
@@ -60,27 +60,27 @@
   }
 };
 
-/// A team and the keys by which its callers are known.
+/// A team and the keys that identify its callers.
 struct TeamRule
 {
   std::string mName;
   std::vector<std::string> mKeys;
-  std::optional<int> mUrgency; ///< goes before a route's
-  bool mIsIsolated = false;    ///< shares no cached part with other teams
-  UsageLimit mLimit;           ///< over all relays
-  UsageUnit mUnit = UsageUnit::kRequests; ///< of the limit
-  std::int64_t mDefaultUsage = 1; ///< tokens of a request that names none
+  std::optional<int> mUrgency; ///< overrides a route's
+  bool mIsIsolated = false; ///< shares no cached prompt prefix with other teams
+  UsageLimit mLimit;        ///< across all relays
+  UsageUnit mUnit = UsageUnit::kRequests; ///< of mLimit
+  std::int64_t mDefaultUsage = 1; ///< tokens of a request that states none
 };
 
-/// What the engines of a service have in common.
+/// Common properties of a service's engines.
 struct EngineTraits
 {
-  std::int64_t mSlots = 1;          ///< requests that run at once
+  std::int64_t mSlots = 1;          ///< concurrent requests of one engine
   std::int64_t mCapacityTokens = 0; ///< memory of one engine
   std::vector<std::string> mModels;
 };
 
-/// A service and its endpoints' common properties.
+/// A service and the common properties of its endpoints.
 struct ServiceRule
 {
   std::string mName;
@@ -88,7 +88,7 @@
   std::optional<EngineTraits> mEngine;
 };
 
-/// A store that keeps cached parts beside the engines.
+/// A store of cached prompt prefixes (KV cache) outside of the engines.
 struct KvStoreRule
 {
   std::string mName;
@@ -106,19 +106,19 @@
   Millis mIdleTimeout{ 15000 };  ///< of a connection between requests
 };
 
-/// The parts of a RelayConfig, as they were read.
+/// The contents of a RelayConfig, as parsed.
 struct RelayRules
 {
-  std::uint64_t mVersion = 0; ///< rises with each change
+  std::uint64_t mVersion = 0; ///< increases with each change
   std::vector<RouteRule> mRoutes;
   std::vector<ServiceRule> mServices;
   std::vector<KvStoreRule> mKvStores;
   CallerLimits mLimits;
   std::vector<TeamRule> mTeams;
-  bool mHasTeams = false; ///< false: no request needs a key
+  bool mHasTeams = false; ///< false: no request requires a key
 };
 
-/// A whole configuration, ready to be looked up in.
+/// A complete configuration with indexes for lookups.
 ///
 /// Immutable. Thread safety: all methods may be called from any thread.
 class RelayConfig
@@ -132,18 +132,18 @@
   /// Version of the configuration; 0 before the first.
   std::uint64_t Version() const { return mRules.mVersion; }
 
-  /// The rules as they were read.
+  /// The rules as parsed.
   const RelayRules& Rules() const { return mRules; }
 
-  /// The route of a host whose prefix begins the path and is longest.
+  /// The route of a host with the longest path prefix that matches.
   ///
-  /// @param aHost  as the caller sent it, a port included
+  /// @param aHost  as the caller sent it, including a port
   /// @param aPath  without the query
   /// @return null when there is none
   const RouteRule* RouteOf(std::string_view aHost,
                            std::string_view aPath) const;
 
-  /// The team that holds a key; null when none does.
+  /// The team with a key; null when there is none.
   const TeamRule* TeamOf(std::string_view aKey) const;
 
   /// A service by its name; null when there is none.
@@ -165,11 +165,12 @@
   bool operator==(const LoadedModel&) const = default;
 };
 
-/// An endpoint as it is listed.
+/// An endpoint as listed in the platform.
 struct EndpointInfo
 {
-  std::string mId; ///< a restart has another, or the same and another
-                   ///< mEndpointIncarnation
+  /// After a restart it differs, or it is the same and mEndpointIncarnation
+  /// differs.
+  std::string mId;
   std::string mService;
   std::string mAddress; ///< "host:port"
   std::string mZone;
@@ -177,15 +178,15 @@
   bool mIsLeaving = false;
   std::vector<LoadedModel> mModels;
   EndpointIncarnation mEndpointIncarnation;
-  std::uint64_t mRevision = 0; ///< of the platform, at its last change
+  std::uint64_t mRevision = 0; ///< platform revision of its last change
 
   bool operator==(const EndpointInfo&) const = default;
 
-  /// Version of a model that it has; 0 when it has none.
+  /// Version of a loaded model; 0 when it is not loaded.
   std::uint64_t VersionOf(std::string_view aModel) const;
 };
 
-/// The newest weights named for a model.
+/// The newest weights version announced for a model.
 struct LatestWeights
 {
   std::string mModel;
--- a/packages/state/include/shuntjunction/state/settings.h
+++ b/packages/state/include/shuntjunction/state/settings.h
@@ -13,7 +13,7 @@
 /// Settings of a process, read once from its settings file.
 namespace shuntjunction::state {
 
-/// What a shuntjunctiond process is.
+/// Role of a shuntjunctiond process.
 enum class ProcessRole : std::uint8_t
 {
   kRouter,
@@ -24,7 +24,7 @@
 inline constexpr EnumNames<ProcessRole, 2> kProcessRoleNames{ { "router",
                                                                 "companion" } };
 
-/// How log lines look.
+/// Format of log lines.
 enum class LogFormat : std::uint8_t
 {
   kText,
@@ -34,7 +34,7 @@
 /// Names of LogFormat.
 inline constexpr EnumNames<LogFormat, 2> kLogFormatNames{ { "text", "json" } };
 
-/// Level of the log.
+/// Log level.
 enum class LogLevel : std::uint8_t
 {
   kDebug,
@@ -53,12 +53,12 @@
 {
   std::int64_t mMaxHeaderBytes = 16L * 1024;
   std::int64_t mMaxBodyBytes = 4L * 1024 * 1024;
-  std::int64_t mMaxAnswerBytes = 4L * 1024 * 1024; ///< of one answer
+  std::int64_t mMaxAnswerBytes = 4L * 1024 * 1024; ///< of one response
   std::int64_t mMaxConnections = 4096;             ///< from callers
   Millis mHeaderTimeout{ 10000 };   ///< for a whole request to arrive
   Millis mIdleTimeout{ 75000 };     ///< of a kept-alive connection
-  Millis mWriteTimeout{ 30000 };    ///< for a caller to take some bytes
-  std::int64_t mStreamWindow = 256; ///< tokens on their way to a caller
+  Millis mWriteTimeout{ 30000 };    ///< for a caller to accept some bytes
+  std::int64_t mStreamWindow = 256; ///< tokens in flight to a caller
 };
 
 /// Settings of the router role.
@@ -68,15 +68,15 @@
   ChooserSettings mChooser;
   EndpointTableSettings mEndpoints;
   RetryBudgetSettings mRetry;
-  std::int64_t mMaxAttempts = 4;    ///< tries of one request, the first too
-  Millis mDefaultDeadline{ 30000 }; ///< for the first token
-  Millis mProbeTimeout{ 25 };       ///< a later reply is not waited for
+  std::int64_t mMaxAttempts = 4;    ///< attempts per request, with the first
+  Millis mDefaultDeadline{ 30000 }; ///< to the first token
+  Millis mProbeTimeout{ 25 };       ///< later replies are ignored
   Millis mConnectTimeout{ 300 };    ///< to a companion
   Millis mTokenTimeout{ 10000 };    ///< between two tokens
-  Millis mIdlePeerTimeout{ 60000 }; ///< an unused companion is let go
+  Millis mIdlePeerTimeout{ 60000 }; ///< an unused companion is disconnected
 };
 
-/// What a companion stands beside.
+/// What a companion runs next to.
 enum class BackendKind : std::uint8_t
 {
   kEngine,
@@ -94,7 +94,7 @@
   std::string mListen = "127.0.0.1:9000";  ///< for routers
   std::string mBackend = "127.0.0.1:7000"; ///< the engine or plain service
   AdmissionSettings mAdmission;
-  std::int64_t mMicrosPerBlock = 4000; ///< assumed until it was measured
+  std::int64_t mMicrosPerBlock = 4000; ///< assumed until it has been measured
   Millis mBackendTimeout{ 2000 };      ///< for the backend to connect
   Millis mClaimTimeout{ 2000 };        ///< to settle a claim
   Millis mClaimRetention{ 24L * 3600 * 1000 }; ///< then its key is free again
@@ -104,19 +104,19 @@
 /// All settings of a shuntjunctiond process.
 struct Settings
 {
-  std::string mName; ///< of this instance, as the platform lists it
+  std::string mName; ///< of this instance, as listed in the platform
   ProcessRole mRole = ProcessRole::kRouter;
   std::string mZone;                  ///< availability zone
   std::string mAdmin = "127.0.0.1:0"; ///< health, metrics, status, drain
   std::string mPlatform;           ///< "host:port" of the platform's object API
-  std::string mSecret;             ///< shared by the system's processes
+  std::string mSecret;             ///< shared by all processes of the system
   std::vector<std::string> mPeers; ///< frame addresses to take snapshots from
   Millis mPlatformTimeout{ 1000 };
-  Millis mWatchTimeout{ 30000 }; ///< longest that one watch waits
+  Millis mWatchTimeout{ 30000 }; ///< maximum duration of one watch
   WatcherSettings mWatchers;
-  Millis mDrainTimeout{ 60000 }; ///< longest that a stop waits for streams
-  /// A router that stops still takes requests so long, until its balancer
-  /// knows.
+  Millis mDrainTimeout{ 60000 }; ///< maximum time that a stop waits for streams
+  /// How long a router that stops still accepts requests, until its load
+  /// balancer has noticed.
   Millis mStopNotice{ 2000 };
   LogFormat mLogFormat = LogFormat::kText;
   LogLevel mLogLevel = LogLevel::kInfo;
@@ -125,7 +125,7 @@
   CompanionSettings mCompanion;
 };
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Address
 {
   std::string mHost;
@@ -135,11 +135,11 @@
   std::string Text() const { return mHost + ":" + std::to_string(mPort); }
 };
 
-/// Reads "127.0.0.1:80" or "[::1]:80".
+/// Parses "127.0.0.1:80" or "[::1]:80".
 Result<Address>
 ParseAddress(std::string_view aText);
 
-/// Reads and checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 Result<Settings>
 ReadSettings(std::string_view aText, std::string_view aFile);
 
--- a/packages/state/include/shuntjunction/state/watchers.h
+++ b/packages/state/include/shuntjunction/state/watchers.h
@@ -7,31 +7,31 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/endpoint_table.h"
 
-/// Which processes watch the platform, and whom the others ask.
+/// Which processes watch the platform, and which ones the others query.
 namespace shuntjunction::state {
 
-/// Settings of the watching.
+/// Settings of the selection of watchers.
 struct WatcherSettings
 {
-  std::size_t mPerZone = 3;    ///< companions of a zone that watch
-  std::size_t mAllBelow = 64;  ///< in a fleet smaller than this, all watch
-  Millis mAskInterval{ 1000 }; ///< of the others, one watcher each time
+  std::size_t mPerZone = 3;    ///< companions per zone that watch
+  std::size_t mAllBelow = 64;  ///< in a smaller fleet all processes watch
+  Millis mAskInterval{ 1000 }; ///< of the others' queries, each to one watcher
 };
 
 /// The companions that watch the platform for an availability zone.
 ///
-/// A pure function of the list: processes that know the same list agree.
-/// @return fewer than asked for where the zone has fewer; none where it has
-///         no companion that stays
+/// Depends only on the list: processes with the same list agree.
+/// @return fewer than aCount where the zone has fewer; none where all of its
+///         companions are leaving, or it has none
 /// Thread safety: pure.
 std::vector<InstanceInfo>
 SelectWatchers(const std::vector<InstanceInfo>& aInstances,
                std::string_view aZone,
                std::size_t aCount);
 
-/// The companions that a process asks although it watches itself.
+/// The companions that a process queries although it watches itself.
 ///
-/// Each process has its own few, so that it keeps few connections.
+/// Each process has its own few, so that it needs few connections.
 /// Thread safety: pure.
 std::vector<InstanceInfo>
 SelectPeers(const std::vector<InstanceInfo>& aInstances,
--- a/packages/state/include/shuntjunction/state/zone_watchers.h
+++ b/packages/state/include/shuntjunction/state/zone_watchers.h
@@ -7,23 +7,24 @@
 
 #include "shuntjunction/state/relay_config.h"
 
-/// Which processes of an availability zone follow the platform's store for it.
+/// Which processes of an availability zone watch the platform's store for it.
 namespace shuntjunction::state {
 
-/// Settings of who follows the store.
+/// Settings of the selection of zone watchers.
 struct ZoneWatcherSettings
 {
-  std::size_t mPerZone = 2; ///< engines whose companions do: one may be lost
-  /// In a fleet of fewer engines each process follows the store itself: all of
-  /// them make fewer calls than a zone's lost watcher would cost in delay.
+  std::size_t mPerZone = 2; ///< engines whose companions watch: one may fail
+  /// In a fleet of fewer engines each process watches the store itself: all
+  /// their calls cost less than the delay when a zone's watcher is lost.
   std::size_t mAllBelow = 24;
 };
 
-/// Addresses of the engines whose companions follow the store for a zone, the
-/// one to be asked first in front.
+/// Addresses of the engines whose companions watch the store for a zone, the
+/// one to be queried first in front.
 ///
-/// A pure function of the list: who knows the same list names the same, and
-/// nobody has to be elected. An engine that goes hands its part to the next.
+/// Depends only on the list: processes with the same list select the same
+/// engines, without an election. When an engine leaves, the next one takes its
+/// place.
 /// @return none in a small fleet, or where the zone has no engine
 /// Thread safety: pure.
 std::vector<std::string>
--- a/packages/state/src/claim_machine.cpp
+++ b/packages/state/src/claim_machine.cpp
@@ -20,19 +20,19 @@
 
 struct CreatedEvent
 {};
-struct UnsureEvent
+struct UnknownResultEvent
 {};
-struct OwnEvent
+struct OwnNonceEvent
 {};
 struct DoneEvent
 {};
-struct TakenEvent
+struct HeldByOtherEvent
 {};
-struct ReusedEvent
+struct KeyReusedEvent
 {};
 struct AbsentEvent
 {};
-struct OutOfTimeEvent
+struct TimeoutEvent
 {};
 
 struct ClaimDef
@@ -42,25 +42,25 @@
   // States.
   using Create = MachineState<ClaimStep::kCreate>;
   using ReadBack = MachineState<ClaimStep::kReadBack>;
-  using HandOver = MachineState<ClaimStep::kExecute>;
+  using Execute = MachineState<ClaimStep::kExecute>;
   using Replay = MachineState<ClaimStep::kReplay>;
-  using Taken = MachineState<ClaimStep::kHeldByOther>;
+  using HeldByOther = MachineState<ClaimStep::kHeldByOther>;
   using KeyReused = MachineState<ClaimStep::kKeyReused>;
   using Undecided = MachineState<ClaimStep::kUndecided>;
   using initial_state = Create;
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
-    //  from      event           to
-    Row<Create,   CreatedEvent,   HandOver>,
-    Row<Create,   UnsureEvent,    ReadBack>,
-    Row<Create,   OutOfTimeEvent, Undecided>,
-    Row<ReadBack, OwnEvent,       HandOver>,
-    Row<ReadBack, DoneEvent,      Replay>,
-    Row<ReadBack, TakenEvent,     Taken>,
-    Row<ReadBack, ReusedEvent,    KeyReused>,
-    Row<ReadBack, AbsentEvent,    Create>,
-    Row<ReadBack, OutOfTimeEvent, Undecided>
+    //  from      event               to
+    Row<Create,   CreatedEvent,       Execute>,
+    Row<Create,   UnknownResultEvent, ReadBack>,
+    Row<Create,   TimeoutEvent,       Undecided>,
+    Row<ReadBack, OwnNonceEvent,      Execute>,
+    Row<ReadBack, DoneEvent,          Replay>,
+    Row<ReadBack, HeldByOtherEvent,   HeldByOther>,
+    Row<ReadBack, KeyReusedEvent,     KeyReused>,
+    Row<ReadBack, AbsentEvent,        Create>,
+    Row<ReadBack, TimeoutEvent,       Undecided>
   > {};
   // clang-format on
 
@@ -69,7 +69,7 @@
   ClaimStep mCurrent = ClaimStep::kCreate;
   std::string mNonce;
   std::string mBodyDigest;
-  ClaimRecord mFound;
+  ClaimRecord mExistingRecord;
   bool mMayHaveWritten = false;
 };
 
@@ -103,11 +103,11 @@
     return;
   }
   const ErrorCode code = aRevision.error().mCode;
-  // Only these two say for certain that nothing was written.
+  // Only these two guarantee that nothing was written.
   if (code != ErrorCode::kConflict && code != ErrorCode::kUnavailable) {
     mMachine->mMayHaveWritten = true;
   }
-  mMachine->process_event(UnsureEvent{});
+  mMachine->process_event(UnknownResultEvent{});
 }
 
 void
@@ -120,22 +120,22 @@
     mMachine->process_event(AbsentEvent{});
     return;
   }
-  mMachine->mFound = **aRecord;
-  if (mMachine->mFound.mNonce == mMachine->mNonce) {
-    mMachine->process_event(OwnEvent{});
-  } else if (mMachine->mFound.mBodyDigest != mMachine->mBodyDigest) {
-    mMachine->process_event(ReusedEvent{});
-  } else if (mMachine->mFound.mIsDone) {
+  mMachine->mExistingRecord = **aRecord;
+  if (mMachine->mExistingRecord.mNonce == mMachine->mNonce) {
+    mMachine->process_event(OwnNonceEvent{});
+  } else if (mMachine->mExistingRecord.mBodyDigest != mMachine->mBodyDigest) {
+    mMachine->process_event(KeyReusedEvent{});
+  } else if (mMachine->mExistingRecord.mIsDone) {
     mMachine->process_event(DoneEvent{});
   } else {
-    mMachine->process_event(TakenEvent{});
+    mMachine->process_event(HeldByOtherEvent{});
   }
 }
 
 void
 ClaimMachine::OnTimeout()
 {
-  mMachine->process_event(OutOfTimeEvent{});
+  mMachine->process_event(TimeoutEvent{});
 }
 
 bool
@@ -147,7 +147,7 @@
 const ClaimRecord&
 ClaimMachine::ExistingRecord() const
 {
-  return mMachine->mFound;
+  return mMachine->mExistingRecord;
 }
 
 ClaimRecord
--- a/packages/state/src/claim_retention.cpp
+++ b/packages/state/src/claim_retention.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::string_view kClaimsPrefix = "claims/";
-constexpr std::size_t kShardDigits = 3; ///< 16^3 are kClaimShards
+constexpr std::size_t kShardDigits = 3; ///< 16^3 = kClaimShards
 
 } // namespace
 
--- a/packages/state/src/config_objects.cpp
+++ b/packages/state/src/config_objects.cpp
@@ -13,10 +13,10 @@
 constexpr double kMaxRate = 1e6;
 constexpr double kMaxWeight = 1000.0;
 
-/// Finishes a reader and hands out what it read.
+/// Finishes a reader and returns the value that was read, or the error.
 template<typename T>
 Result<T>
-Finished(JsonReader& aReader, T aValue)
+FinishReading(JsonReader& aReader, T aValue)
 {
   if (auto done = aReader.Finish(); !done) {
     return tl::unexpected<Error>(done.error());
@@ -69,7 +69,7 @@
 
 template<typename T>
 Result<void>
-Discard(const Result<T>& aResult)
+DiscardValue(const Result<T>& aResult)
 {
   if (!aResult) {
     return tl::unexpected<Error>(aResult.error());
@@ -95,10 +95,11 @@
   const std::size_t slash = rest.find('/');
   const auto kind = kConfigKindNames.Parse(rest.substr(0, slash));
   if (!kind) {
-    return refuse("names no kind; allowed is " + kConfigKindNames.Allowed());
+    return refuse("has an unknown kind; allowed is " +
+                  kConfigKindNames.Allowed());
   }
   if (slash == std::string_view::npos || slash + 1 == rest.size()) {
-    return refuse("lacks a name after the kind");
+    return refuse("has no name after the kind");
   }
   return ConfigKey{ *kind, std::string(rest.substr(slash + 1)) };
 }
@@ -124,7 +125,7 @@
   }
   team.mLimit = ReadLimit(reader);
   team.mWeight = reader.Number("weight", 0.001, kMaxWeight, 1.0);
-  return Finished(reader, std::move(team));
+  return FinishReading(reader, std::move(team));
 }
 
 Result<ModelConfig>
@@ -136,7 +137,7 @@
   model.mWeights = static_cast<std::uint32_t>(
     reader.Integer("weights", 1, kMaxWeightsVersion));
   model.mAdapters = reader.Texts("adapters");
-  return Finished(reader, std::move(model));
+  return FinishReading(reader, std::move(model));
 }
 
 Result<TemplateConfig>
@@ -150,7 +151,7 @@
   config.mUrgency =
     reader.Name("urgency", kPriorityNames, std::optional(Priority::kOrdinary));
   config.mIsRepeatable = reader.Flag("repeatable", true);
-  return Finished(reader, std::move(config));
+  return FinishReading(reader, std::move(config));
 }
 
 Result<ParametersConfig>
@@ -175,7 +176,7 @@
   }
   config.mSharedText = reader.Texts("sharedText");
   config.mWarmEndpoints = reader.Integer("warmEndpoints", 0, 64, 1);
-  return Finished(reader, std::move(config));
+  return FinishReading(reader, std::move(config));
 }
 
 Result<EndpointConfig>
@@ -187,13 +188,14 @@
   config.mModel = reader.Text("model", "");
   config.mService = reader.Text("service", "");
   if (config.mModel.empty() == config.mService.empty()) {
-    reader.AddError(
-      "model", "not set apart from 'service'", "exactly one of both");
+    reader.AddError("model",
+                    "set together with 'service', or neither is",
+                    "exactly one of the two");
   }
   config.mRole =
     reader.Name("role", kEngineRoleNames, std::optional(EngineRole::kBoth));
   config.mWeight = reader.Number("weight", 0.001, kMaxWeight, 1.0);
-  return Finished(reader, std::move(config));
+  return FinishReading(reader, std::move(config));
 }
 
 Result<ServiceConfig>
@@ -204,7 +206,7 @@
   config.mName = aName;
   config.mUrgency =
     reader.Name("urgency", kPriorityNames, std::optional(Priority::kPriority));
-  return Finished(reader, std::move(config));
+  return FinishReading(reader, std::move(config));
 }
 
 Result<std::uint64_t>
@@ -212,7 +214,7 @@
 {
   JsonReader reader(aValue, "epoch");
   const auto epoch = reader.Integer("epoch", 0, 65535);
-  return Finished(reader, static_cast<std::uint64_t>(epoch));
+  return FinishReading(reader, static_cast<std::uint64_t>(epoch));
 }
 
 Result<void>
@@ -224,19 +226,19 @@
   }
   switch (key->mKind) {
     case ConfigKind::kTeam:
-      return Discard(ReadTeam(key->mName, aValue));
+      return DiscardValue(ReadTeam(key->mName, aValue));
     case ConfigKind::kModel:
-      return Discard(ReadModel(key->mName, aValue));
+      return DiscardValue(ReadModel(key->mName, aValue));
     case ConfigKind::kTemplate:
-      return Discard(ReadTemplate(key->mName, aValue));
+      return DiscardValue(ReadTemplate(key->mName, aValue));
     case ConfigKind::kParameters:
-      return Discard(ReadParameters(key->mName, aValue));
+      return DiscardValue(ReadParameters(key->mName, aValue));
     case ConfigKind::kEndpoint:
-      return Discard(ReadEndpoint(key->mName, aValue));
+      return DiscardValue(ReadEndpoint(key->mName, aValue));
     case ConfigKind::kService:
-      return Discard(ReadService(key->mName, aValue));
+      return DiscardValue(ReadService(key->mName, aValue));
     case ConfigKind::kEpoch:
-      return Discard(ReadEpoch(aValue));
+      return DiscardValue(ReadEpoch(aValue));
   }
   return Fail(ErrorCode::kInternal, "config.check", "", "unknown kind");
 }
--- a/packages/state/src/config_store.cpp
+++ b/packages/state/src/config_store.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Puts the good form of one object into a snapshot.
+/// Adds the valid form of one object to a snapshot.
 void
 AddObject(ConfigSnapshot& aSnapshot, const RawObject& aObject)
 {
@@ -89,46 +89,46 @@
 }
 
 void
-ConfigStore::Take(Objects& aObjects, const RawObject& aObject)
+ConfigStore::ApplyObject(Objects& aObjects, const RawObject& aObject)
 {
-  Held& held = aObjects[aObject.mKey];
-  if (aObject.mRevision < held.mRaw.mRevision) {
+  StoredObject& stored = aObjects[aObject.mKey];
+  if (aObject.mRevision < stored.mReceived.mRevision) {
     return;
   }
-  held.mRaw = aObject;
-  held.mReason.clear();
+  stored.mReceived = aObject;
+  stored.mReason.clear();
   if (aObject.mValue.empty()) {
-    held.mGood = aObject;
+    stored.mLastValid = aObject;
     return;
   }
   const auto checked = CheckRaw(aObject);
   if (checked) {
-    held.mGood = aObject;
+    stored.mLastValid = aObject;
   } else {
-    held.mReason = checked.error().mText;
+    stored.mReason = checked.error().mText;
   }
 }
 
 std::uint64_t
 ConfigStore::EpochOf(const Objects& aObjects)
 {
-  const auto held = aObjects.find(std::string(kEpochKey));
-  if (held == aObjects.end() || held->second.mGood.mValue.empty()) {
+  const auto stored = aObjects.find(std::string(kEpochKey));
+  if (stored == aObjects.end() || stored->second.mLastValid.mValue.empty()) {
     return 0;
   }
-  const auto value = ParseJson(held->second.mGood.mValue, kEpochKey);
+  const auto value = ParseJson(stored->second.mLastValid.mValue, kEpochKey);
   return value ? ReadEpoch(*value).value_or(0) : 0;
 }
 
 bool
-ConfigStore::SameContent(const Objects& aLeft, const Objects& aRight)
+ConfigStore::HasSameContent(const Objects& aLeft, const Objects& aRight)
 {
   return std::equal(aLeft.begin(),
                     aLeft.end(),
                     aRight.begin(),
                     aRight.end(),
                     [](const auto& aOne, const auto& aOther) {
-                      return aOne.second.mRaw == aOther.second.mRaw;
+                      return aOne.second.mReceived == aOther.second.mReceived;
                     });
 }
 
@@ -138,33 +138,34 @@
 {
   Objects objects;
   for (const auto& object : aObjects) {
-    Take(objects, object);
+    ApplyObject(objects, object);
   }
   const ConfigVersion offered{ EpochOf(objects), aRevision };
   if (offered < mCursor) {
     return MergeOutcome::kOlder;
   }
   const bool isNewEpoch = offered.mEpoch != mCursor.mEpoch;
-  const bool isSame = SameContent(objects, mObjects);
+  const bool isSame = HasSameContent(objects, mObjects);
   if (offered == mCursor && !isSame && mCursor != ConfigVersion{}) {
-    // One revision, two contents: the platform was restored and went on.
+    // One revision with two contents: the platform was restored and then
+    // written to.
     return MergeOutcome::kOlder;
   }
   mCursor = offered;
   if (!isNewEpoch && isSame) {
     return MergeOutcome::kUnchanged;
   }
-  // An object that turned bad keeps the good form it had here.
-  for (auto& [key, held] : objects) {
+  // An object that became invalid keeps its last valid form.
+  for (auto& [key, stored] : objects) {
     const auto before = mObjects.find(key);
-    if (!held.mReason.empty() && before != mObjects.end()) {
-      held.mGood = before->second.mGood;
+    if (!stored.mReason.empty() && before != mObjects.end()) {
+      stored.mLastValid = before->second.mLastValid;
     }
   }
   mObjects = std::move(objects);
-  mNewestChange = isNewEpoch ? 0 : mNewestChange;
+  mNewestRevision = isNewEpoch ? 0 : mNewestRevision;
   Publish();
-  RestartRecent();
+  ResetRecent();
   return MergeOutcome::kApplied;
 }
 
@@ -180,20 +181,20 @@
     return MergeOutcome::kUnchanged;
   }
   for (const auto& change : aChanges) {
-    Take(mObjects, change);
+    ApplyObject(mObjects, change);
   }
   // The epoch only rises, whatever an operator writes.
   const std::uint64_t epoch = EpochOf(mObjects);
   const bool isNewEpoch = epoch > mCursor.mEpoch;
   if (isNewEpoch) {
-    mNewestChange = 0;
+    mNewestRevision = 0;
     mCursor.mEpoch = epoch;
   }
   Publish();
   if (isNewEpoch) {
-    RestartRecent();
+    ResetRecent();
   } else {
-    AddRecent(aChanges);
+    RecordChanges(aChanges);
   }
   return MergeOutcome::kApplied;
 }
@@ -202,41 +203,41 @@
 ConfigStore::Publish()
 {
   auto snapshot = std::make_shared<ConfigSnapshot>();
-  for (auto held = mObjects.begin(); held != mObjects.end();) {
-    const auto next = std::next(held);
-    const RawObject& raw = held->second.mRaw;
-    mNewestChange = std::max(mNewestChange, raw.mRevision);
-    if (!held->second.mGood.mValue.empty()) {
-      AddObject(*snapshot, held->second.mGood);
+  for (auto stored = mObjects.begin(); stored != mObjects.end();) {
+    const auto next = std::next(stored);
+    const RawObject& received = stored->second.mReceived;
+    mNewestRevision = std::max(mNewestRevision, received.mRevision);
+    if (!stored->second.mLastValid.mValue.empty()) {
+      AddObject(*snapshot, stored->second.mLastValid);
     }
-    if (!held->second.mReason.empty()) {
+    if (!stored->second.mReason.empty()) {
       snapshot->mQuarantined.push_back(
-        { held->first, raw.mRevision, held->second.mReason });
-    } else if (raw.mValue.empty()) {
-      mObjects.erase(held);
+        { stored->first, received.mRevision, stored->second.mReason });
+    } else if (received.mValue.empty()) {
+      mObjects.erase(stored);
     }
-    held = next;
+    stored = next;
   }
-  snapshot->mVersion = { mCursor.mEpoch, mNewestChange };
+  snapshot->mVersion = { mCursor.mEpoch, mNewestRevision };
   mCurrent = std::move(snapshot);
 }
 
 std::string
 ConfigStore::Serialize() const
 {
-  boost::json::array raw;
-  boost::json::array good;
-  for (const auto& [key, held] : mObjects) {
-    raw.push_back(WriteRawObject(held.mRaw));
-    if (!held.mReason.empty() && !held.mGood.mValue.empty()) {
-      good.push_back(WriteRawObject(held.mGood));
+  boost::json::array received;
+  boost::json::array lastValid;
+  for (const auto& [key, stored] : mObjects) {
+    received.push_back(WriteRawObject(stored.mReceived));
+    if (!stored.mReason.empty() && !stored.mLastValid.mValue.empty()) {
+      lastValid.push_back(WriteRawObject(stored.mLastValid));
     }
   }
   return boost::json::serialize(
     boost::json::object{ { "revision", mCursor.mRevision },
-                         { "newest", mNewestChange },
-                         { "objects", std::move(raw) },
-                         { "lastGood", std::move(good) } });
+                         { "newest", mNewestRevision },
+                         { "objects", std::move(received) },
+                         { "lastGood", std::move(lastValid) } });
 }
 
 Result<MergeOutcome>
@@ -260,70 +261,70 @@
   const auto newest =
     static_cast<std::uint64_t>(reader.Integer("newest", 0, INT64_MAX, 0));
   const auto objects = ReadRawObjects(reader, "objects");
-  const auto lastGood = ReadRawObjects(reader, "lastGood");
+  const auto lastValidObjects = ReadRawObjects(reader, "lastGood");
   if (const auto done = reader.Finish(); !done) {
     return refuse(done.error());
   }
   const MergeOutcome outcome = ApplyList(revision, objects);
-  if (outcome == MergeOutcome::kApplied && !lastGood.empty()) {
-    for (const auto& object : lastGood) {
-      const auto held = mObjects.find(object.mKey);
-      if (held != mObjects.end() && held->second.mGood.mValue.empty() &&
-          CheckRaw(object)) {
-        held->second.mGood = object;
+  if (outcome == MergeOutcome::kApplied && !lastValidObjects.empty()) {
+    for (const auto& object : lastValidObjects) {
+      const auto stored = mObjects.find(object.mKey);
+      if (stored != mObjects.end() &&
+          stored->second.mLastValid.mValue.empty() && CheckRaw(object)) {
+        stored->second.mLastValid = object;
       }
     }
     Publish();
   }
-  return AdoptNewest(newest, objects) ? MergeOutcome::kApplied : outcome;
+  return AdoptPeerVersion(newest, objects) ? MergeOutcome::kApplied : outcome;
 }
 
 bool
-ConfigStore::AdoptNewest(std::uint64_t aNewest,
-                         const std::vector<RawObject>& aObjects)
+ConfigStore::AdoptPeerVersion(std::uint64_t aPeerRevision,
+                              const std::vector<RawObject>& aObjects)
 {
-  if (aNewest <= mNewestChange || aNewest > mCursor.mRevision) {
+  if (aPeerRevision <= mNewestRevision || aPeerRevision > mCursor.mRevision) {
     return false;
   }
   Objects objects;
   for (const auto& object : aObjects) {
-    Take(objects, object);
+    ApplyObject(objects, object);
   }
-  if (!SameContent(objects, mObjects)) {
+  if (!HasSameContent(objects, mObjects)) {
     return false;
   }
-  mNewestChange = aNewest;
+  mNewestRevision = aPeerRevision;
   Publish();
-  RestartRecent();
+  ResetRecent();
   return true;
 }
 
-// Changes alone.
+// Updates that consist of changes only.
 
 std::uint64_t
 ConfigStore::Digest(const Objects& aObjects)
 {
   std::uint64_t digest = 0;
-  for (const auto& [key, held] : aObjects) {
-    if (!held.mRaw.mValue.empty()) {
-      digest += ContentDigest(held.mRaw);
+  for (const auto& [key, stored] : aObjects) {
+    if (!stored.mReceived.mValue.empty()) {
+      digest += ContentDigest(stored.mReceived);
     }
   }
   return digest;
 }
 
 void
-ConfigStore::RestartRecent()
+ConfigStore::ResetRecent()
 {
-  mRecent.Restart(mCursor.mEpoch, mNewestChange);
-  mRecent.Complete(mCursor.mRevision, Digest(mObjects));
+  mRecent.Reset(mCursor.mEpoch, mNewestRevision);
+  mRecent.SetEndState(mCursor.mRevision, Digest(mObjects));
 }
 
 void
-ConfigStore::AddRecent(const std::vector<RawObject>& aChanges)
+ConfigStore::RecordChanges(const std::vector<RawObject>& aChanges)
 {
   mRecent.Add(aChanges);
-  mRecent.Complete(mCursor.mRevision, Digest(mObjects));
+  mRecent.SetEndState(mCursor.mRevision, Digest(mObjects));
 }
 
 Result<MergeOutcome>
@@ -336,33 +337,35 @@
   const auto refuse = [&](std::string_view aWhy) {
     return Fail(ErrorCode::kConflict, "config.changes", aPeer, aWhy);
   };
-  if (changes->mEpoch != mCursor.mEpoch || mNewestChange < changes->mSince) {
-    return refuse("they do not follow on");
+  if (changes->mEpoch != mCursor.mEpoch ||
+      mNewestRevision < changes->mBaseRevision) {
+    return refuse("the changes do not continue from this version");
   }
-  if (changes->mNewest <= mNewestChange) {
+  if (changes->mNewest <= mNewestRevision) {
     return MergeOutcome::kUnchanged;
   }
   if (changes->mCursor < mCursor.mRevision) {
-    // Everything up to there is held already, and so is its version.
+    // The objects up to there are held already; if they are the peer's, its
+    // version applies to them too.
     if (Digest(mObjects) != changes->mDigest) {
       return MergeOutcome::kOlder;
     }
-    mNewestChange = changes->mNewest;
+    mNewestRevision = changes->mNewest;
     Publish();
-    RestartRecent();
+    ResetRecent();
     return MergeOutcome::kApplied;
   }
   Objects objects = mObjects;
   for (const auto& change : changes->mChanges) {
-    Take(objects, change);
+    ApplyObject(objects, change);
   }
   if (Digest(objects) != changes->mDigest) {
-    return refuse("they lead to other objects than the peer's");
+    return refuse("the changes do not lead to the peer's objects");
   }
   mObjects = std::move(objects);
   mCursor.mRevision = changes->mCursor;
   Publish();
-  AddRecent(changes->mChanges);
+  RecordChanges(changes->mChanges);
   return MergeOutcome::kApplied;
 }
 
--- a/packages/state/src/json_reader.cpp
+++ b/packages/state/src/json_reader.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr std::size_t kMaxShownValue = 60;
+constexpr std::size_t kMaxExcerptBytes = 60;
 
-/// What an error message shows of a value.
+/// Text of a value for an error message.
 std::string
-Shown(const boost::json::value& aValue)
+Excerpt(const boost::json::value& aValue)
 {
   std::string text = boost::json::serialize(aValue);
-  if (text.size() > kMaxShownValue) {
-    text = text.substr(0, kMaxShownValue) + "...";
+  if (text.size() > kMaxExcerptBytes) {
+    text = text.substr(0, kMaxExcerptBytes) + "...";
   }
   return text;
 }
 
-/// Levels of nesting that another writer may use within our limits of memory.
-constexpr std::size_t kMostForeignDepth = 512;
+/// Maximum nesting in JSON of other writers; fits our memory limits.
+constexpr std::size_t kMaxUntrustedDepth = 512;
 
 Result<boost::json::value>
 Parse(std::string_view aText,
@@ -58,7 +58,7 @@
 {
   boost::json::parse_options options;
   options.allow_invalid_utf8 = true;
-  options.max_depth = kMostForeignDepth;
+  options.max_depth = kMaxUntrustedDepth;
   return Parse(aText, aWhat, options);
 }
 
@@ -67,7 +67,7 @@
 {
   mObject = aValue.if_object();
   if (mObject == nullptr) {
-    AddError("", Shown(aValue), "an object");
+    AddError("", Excerpt(aValue), "an object");
   }
 }
 
@@ -98,7 +98,7 @@
 const boost::json::value*
 JsonReader::Find(std::string_view aKey)
 {
-  mKnown.emplace_back(aKey);
+  mKnownKeys.emplace_back(aKey);
   return mObject == nullptr ? nullptr : mObject->if_contains(aKey);
 }
 
@@ -108,12 +108,12 @@
   const auto* value = Find(aKey);
   if (value == nullptr) {
     if (!aDefault) {
-      AddError(aKey, "absent", "a text");
+      AddError(aKey, "absent", "a string");
     }
     return aDefault.value_or("");
   }
   if (!value->is_string()) {
-    AddError(aKey, Shown(*value), "a text");
+    AddError(aKey, Excerpt(*value), "a string");
     return "";
   }
   return std::string(value->as_string());
@@ -137,7 +137,7 @@
   boost::json::error_code error;
   const auto number = value->to_number<std::int64_t>(error);
   if (error || value->is_double() || number < aMin || number > aMax) {
-    AddError(aKey, Shown(*value), allowed);
+    AddError(aKey, Excerpt(*value), allowed);
     return aMin;
   }
   return number;
@@ -161,7 +161,7 @@
   boost::json::error_code error;
   const auto number = value->to_number<double>(error);
   if (error || number < aMin || number > aMax) {
-    AddError(aKey, Shown(*value), allowed);
+    AddError(aKey, Excerpt(*value), allowed);
     return aMin;
   }
   return number;
@@ -178,7 +178,7 @@
     return aDefault.value_or(false);
   }
   if (!value->is_bool()) {
-    AddError(aKey, Shown(*value), "true or false");
+    AddError(aKey, Excerpt(*value), "true or false");
     return false;
   }
   return value->as_bool();
@@ -193,12 +193,12 @@
     return texts;
   }
   if (!value->is_array()) {
-    AddError(aKey, Shown(*value), "a list of texts");
+    AddError(aKey, Excerpt(*value), "a list of strings");
     return texts;
   }
   for (const auto& item : value->as_array()) {
     if (!item.is_string()) {
-      AddError(aKey, Shown(*value), "a list of texts");
+      AddError(aKey, Excerpt(*value), "a list of strings");
       return texts;
     }
     texts.emplace_back(item.as_string());
@@ -220,9 +220,10 @@
   if (mObject != nullptr) {
     for (const auto& item : *mObject) {
       const std::string_view key(item.key().data(), item.key().size());
-      if (std::find(mKnown.begin(), mKnown.end(), key) == mKnown.end()) {
+      if (std::find(mKnownKeys.begin(), mKnownKeys.end(), key) ==
+          mKnownKeys.end()) {
         std::string allowed = "only ";
-        for (const auto& known : mKnown) {
+        for (const auto& known : mKnownKeys) {
           allowed += (allowed.size() > 5 ? ", " : "") + known;
         }
         AddError(key, "an unknown key", allowed);
--- a/packages/state/src/machine_state.h
+++ b/packages/state/src/machine_state.h
@@ -6,11 +6,11 @@
 
 namespace shuntjunction::state {
 
-/// A state of a Boost.MSM machine that notes its value in the machine.
+/// A state of a Boost.MSM machine that stores its enumerator in the machine.
 ///
-/// MSM numbers states by their first places in the transition table, so its
-/// numbers say nothing about an enumeration; a machine of these states has a
-/// member mCurrent instead.
+/// MSM numbers states by their first appearance in the transition table, so its
+/// numbers do not match an enumeration; a machine of these states has a member
+/// mCurrent instead.
 template<auto kValue>
 struct MachineState : public boost::msm::front::state<>
 {
@@ -21,8 +21,9 @@
   }
 };
 
-/// A part of a machine for which an event that means nothing in a state is no
-/// error; the machine names its no_transition with a using declaration.
+/// Base of a machine in which an event without a transition in the current
+/// state is not an error; the machine imports no_transition with a using
+/// declaration.
 struct IgnoresUnhandledEvents
 {
   template<typename Event, typename Fsm>
--- a/packages/state/src/object_mirror.cpp
+++ b/packages/state/src/object_mirror.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-/// Longest age that is told: more is as good as never.
-constexpr std::int64_t kMostAgeMs = 24LL * 3600 * 1000;
+/// Maximum age that is sent; a higher one means the same as never.
+constexpr std::int64_t kMaxAgeMs = 24LL * 3600 * 1000;
 
 std::int64_t
 AgeOf(TimePoint aAt, TimePoint aNow)
 {
   const auto age = std::chrono::ceil<Millis>(aNow - aAt).count();
-  return std::clamp<std::int64_t>(age, 0, kMostAgeMs);
+  return std::clamp<std::int64_t>(age, 0, kMaxAgeMs);
 }
 
 Millis
 ReadAge(JsonReader& aReader, std::string_view aKey)
 {
-  return Millis(aReader.Integer(aKey, 0, kMostAgeMs));
+  return Millis(aReader.Integer(aKey, 0, kMaxAgeMs));
 }
 
 std::uint64_t
@@ -47,29 +47,29 @@
 }
 
 std::string
-WriteMirrorUpdate(const MirrorUpdate& aPage)
+WriteMirrorUpdate(const MirrorUpdate& aUpdate)
 {
   boost::json::array topics;
-  for (const auto& topic : aPage.mTopics) {
+  for (const auto& topic : aUpdate.mTopics) {
     topics.push_back({ { "prefix", topic.mPrefix },
                        { "known", topic.mKnownRevision },
                        { "age_ms", topic.mAge.count() } });
   }
   boost::json::array changes;
-  for (const auto& change : aPage.mChanges) {
+  for (const auto& change : aUpdate.mChanges) {
     auto object = WriteRawObject(change);
     object["age_ms"] = change.mAge.count();
     changes.push_back(std::move(object));
   }
-  boost::json::object page{ { "epoch", aPage.mEpoch },
-                            { "sequence", aPage.mSequence },
-                            { "whole", aPage.mIsWhole },
-                            { "topics", std::move(topics) },
-                            { "changes", std::move(changes) } };
-  if (aPage.mTroubleAge) {
-    page["trouble_age_ms"] = aPage.mTroubleAge->count();
+  boost::json::object update{ { "epoch", aUpdate.mEpoch },
+                              { "sequence", aUpdate.mSequence },
+                              { "whole", aUpdate.mIsWhole },
+                              { "topics", std::move(topics) },
+                              { "changes", std::move(changes) } };
+  if (aUpdate.mPlatformFailureAge) {
+    update["trouble_age_ms"] = aUpdate.mPlatformFailureAge->count();
   }
-  return boost::json::serialize(page);
+  return boost::json::serialize(update);
 }
 
 Result<MirrorUpdate>
@@ -80,22 +80,22 @@
     return tl::unexpected<Error>(value.error());
   }
   JsonReader reader(*value, "page");
-  MirrorUpdate page;
-  page.mEpoch = ReadNumber(reader, "epoch");
-  page.mSequence = ReadNumber(reader, "sequence");
-  page.mIsWhole = reader.Flag("whole", false);
+  MirrorUpdate update;
+  update.mEpoch = ReadNumber(reader, "epoch");
+  update.mSequence = ReadNumber(reader, "sequence");
+  update.mIsWhole = reader.Flag("whole", false);
   ReadList(reader, "topics", [&](JsonReader& aTopic) {
-    page.mTopics.push_back({ aTopic.Text("prefix"),
-                             ReadNumber(aTopic, "known"),
-                             ReadAge(aTopic, "age_ms") });
+    update.mTopics.push_back({ aTopic.Text("prefix"),
+                               ReadNumber(aTopic, "known"),
+                               ReadAge(aTopic, "age_ms") });
   });
   ReadList(reader, "changes", [&](JsonReader& aChange) {
     auto object = ReadRawObject(aChange);
     object.mAge = ReadAge(aChange, "age_ms");
-    page.mChanges.push_back(std::move(object));
+    update.mChanges.push_back(std::move(object));
   });
   if (reader.Find("trouble_age_ms") != nullptr) {
-    page.mTroubleAge = ReadAge(reader, "trouble_age_ms");
+    update.mPlatformFailureAge = ReadAge(reader, "trouble_age_ms");
   }
   if (const auto done = reader.Finish(); !done) {
     Error error = done.error();
@@ -103,7 +103,7 @@
     error.mPeer = aPeer;
     return tl::unexpected<Error>(std::move(error));
   }
-  return page;
+  return update;
 }
 
 ObjectMirror::ObjectMirror(std::uint64_t aEpoch)
@@ -112,15 +112,15 @@
 }
 
 RawObject
-ObjectMirror::Aged(const Entry& aEntry, TimePoint aNow)
+ObjectMirror::WithAge(const Entry& aEntry, TimePoint aNow)
 {
   RawObject object = aEntry.mObject;
-  object.mAge = Millis(AgeOf(aEntry.mHeardAt, aNow));
+  object.mAge = Millis(AgeOf(aEntry.mReceivedAt, aNow));
   return object;
 }
 
 MirroredTopic*
-ObjectMirror::TopicOf(std::string_view aKey)
+ObjectMirror::FindTopic(std::string_view aKey)
 {
   const auto found =
     std::find_if(mTopics.begin(), mTopics.end(), [&](const auto& aTopic) {
@@ -130,9 +130,9 @@
 }
 
 void
-ObjectMirror::Append(const RawObject& aObject, TimePoint aHeardAt)
+ObjectMirror::Append(const RawObject& aObject, TimePoint aReceivedAt)
 {
-  Entry entry{ aObject, aHeardAt, ++mSequence };
+  Entry entry{ aObject, aReceivedAt, ++mSequence };
   if (aObject.mValue.empty()) {
     mObjects.erase(aObject.mKey);
   } else {
@@ -143,10 +143,11 @@
     return;
   }
   const auto& oldest = mChanges.front();
-  if (auto* topic = TopicOf(oldest.mObject.mKey)) {
-    topic->mSince = std::max(topic->mSince, oldest.mObject.mRevision);
+  if (auto* topic = FindTopic(oldest.mObject.mKey)) {
+    topic->mHistoryStart =
+      std::max(topic->mHistoryStart, oldest.mObject.mRevision);
   }
-  mFirstKept = oldest.mSequence + 1;
+  mOldestSequence = oldest.mSequence + 1;
   mChanges.pop_front();
 }
 
@@ -158,23 +159,23 @@
 {
   auto& topic = mTopics.try_emplace(std::string(aPrefix)).first->second;
   if (topic.mKnownRevision == 0) {
-    // What went before the first list is not known.
-    topic.mSince = aRevision;
+    // Changes before the first list are not known.
+    topic.mHistoryStart = aRevision;
   }
   std::set<std::string_view> listed;
   for (const auto& object : aObjects) {
     listed.insert(object.mKey);
     MergeChange(object, aNow);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (auto it = mObjects.lower_bound(aPrefix);
        it != mObjects.end() && it->first.starts_with(aPrefix);
        ++it) {
     if (!listed.contains(it->first)) {
-      gone.push_back(it->first);
+      removed.push_back(it->first);
     }
   }
-  for (const auto& key : gone) {
+  for (const auto& key : removed) {
     Append({ key, aRevision, {} }, aNow);
   }
 }
@@ -184,21 +185,21 @@
 {
   const auto known = mObjects.find(aObject.mKey);
   const bool isDeleted = aObject.mValue.empty();
-  const bool isNews = known == mObjects.end()
-                        ? !isDeleted
-                        : known->second.mObject.mRevision < aObject.mRevision;
-  if (isNews) {
+  const bool isNewer = known == mObjects.end()
+                         ? !isDeleted
+                         : known->second.mObject.mRevision < aObject.mRevision;
+  if (isNewer) {
     Append(aObject, aNow - aObject.mAge);
   }
 }
 
 void
 ObjectMirror::UpdateTopic(std::string_view aPrefix,
-                          std::uint64_t aKnown,
+                          std::uint64_t aKnownRevision,
                           TimePoint aAsOf)
 {
   auto& topic = mTopics.try_emplace(std::string(aPrefix)).first->second;
-  topic.mKnownRevision = std::max(topic.mKnownRevision, aKnown);
+  topic.mKnownRevision = std::max(topic.mKnownRevision, aKnownRevision);
   topic.mAsOf = std::max(topic.mAsOf, aAsOf);
 }
 
@@ -207,54 +208,54 @@
                           std::uint64_t aSequence,
                           TimePoint aNow) const
 {
-  MirrorUpdate page;
-  page.mEpoch = mEpoch;
-  page.mSequence = mSequence;
-  page.mIsWhole = aEpoch != mEpoch || aSequence + 1 < mFirstKept ||
-                  aSequence > mSequence || aSequence == 0;
+  MirrorUpdate update;
+  update.mEpoch = mEpoch;
+  update.mSequence = mSequence;
+  update.mIsWhole = aEpoch != mEpoch || aSequence + 1 < mOldestSequence ||
+                    aSequence > mSequence || aSequence == 0;
   for (const auto& [prefix, topic] : mTopics) {
-    page.mTopics.push_back(
+    update.mTopics.push_back(
       { prefix, topic.mKnownRevision, Millis(AgeOf(topic.mAsOf, aNow)) });
   }
-  if (mTroubleAt) {
-    page.mTroubleAge = Millis(AgeOf(*mTroubleAt, aNow));
+  if (mLastPlatformFailure) {
+    update.mPlatformFailureAge = Millis(AgeOf(*mLastPlatformFailure, aNow));
   }
-  if (page.mIsWhole) {
+  if (update.mIsWhole) {
     for (const auto& [key, entry] : mObjects) {
-      page.mChanges.push_back(Aged(entry, aNow));
+      update.mChanges.push_back(WithAge(entry, aNow));
     }
-    return page;
+    return update;
   }
   for (const auto& entry : mChanges) {
     if (entry.mSequence > aSequence) {
-      page.mChanges.push_back(Aged(entry, aNow));
+      update.mChanges.push_back(WithAge(entry, aNow));
     }
   }
-  return page;
+  return update;
 }
 
 void
-ObjectMirror::Apply(const MirrorUpdate& aPage,
-                    TimePoint aAskedAt,
+ObjectMirror::Apply(const MirrorUpdate& aUpdate,
+                    TimePoint aRequestedAt,
                     TimePoint aNow)
 {
-  if (aPage.mIsWhole) {
+  if (aUpdate.mIsWhole) {
     mObjects.clear();
     mChanges.clear();
     mTopics.clear();
-    mFirstKept = mSequence + 1;
+    mOldestSequence = mSequence + 1;
   }
-  for (const auto& topic : aPage.mTopics) {
-    UpdateTopic(topic.mPrefix, topic.mKnownRevision, aAskedAt - topic.mAge);
-    if (aPage.mIsWhole) {
-      mTopics.find(topic.mPrefix)->second.mSince = topic.mKnownRevision;
+  for (const auto& topic : aUpdate.mTopics) {
+    UpdateTopic(topic.mPrefix, topic.mKnownRevision, aRequestedAt - topic.mAge);
+    if (aUpdate.mIsWhole) {
+      mTopics.find(topic.mPrefix)->second.mHistoryStart = topic.mKnownRevision;
     }
   }
-  for (const auto& change : aPage.mChanges) {
+  for (const auto& change : aUpdate.mChanges) {
     MergeChange(change, aNow);
   }
-  if (aPage.mTroubleAge) {
-    mTroubleAt = aNow - *aPage.mTroubleAge;
+  if (aUpdate.mPlatformFailureAge) {
+    mLastPlatformFailure = aNow - *aUpdate.mPlatformFailureAge;
   }
 }
 
@@ -272,7 +273,7 @@
   for (auto it = mObjects.lower_bound(aPrefix);
        it != mObjects.end() && it->first.starts_with(aPrefix);
        ++it) {
-    objects.push_back(Aged(it->second, aNow));
+    objects.push_back(WithAge(it->second, aNow));
   }
   return objects;
 }
@@ -283,14 +284,14 @@
                            TimePoint aNow) const
 {
   const auto* topic = Topic(aPrefix);
-  if (topic == nullptr || aRevision < topic->mSince) {
+  if (topic == nullptr || aRevision < topic->mHistoryStart) {
     return std::nullopt;
   }
   std::vector<RawObject> changes;
   for (const auto& entry : mChanges) {
     if (entry.mObject.mRevision > aRevision &&
         entry.mObject.mKey.starts_with(aPrefix)) {
-      changes.push_back(Aged(entry, aNow));
+      changes.push_back(WithAge(entry, aNow));
     }
   }
   return changes;
--- a/packages/state/src/order_machine.cpp
+++ b/packages/state/src/order_machine.cpp
@@ -18,19 +18,19 @@
 namespace msm = boost::msm;
 using msm::front::Row;
 
-struct OwnEvent
+struct OwnTokenEvent
 {};
-struct OthersEvent
+struct OthersTokenEvent
 {};
 struct WrittenEvent
 {};
-struct UnsureEvent
+struct UnknownResultEvent
 {};
 struct ConflictEvent
 {};
 struct DrainedEvent
 {};
-struct OrderedEvent
+struct OrderSentEvent
 {};
 
 struct OrderDef
@@ -39,27 +39,27 @@
 {
   // States.
   using ReadFence = MachineState<OrderStep::kReadFence>;
-  using TakeFence = MachineState<OrderStep::kAcquireFence>;
+  using AcquireFence = MachineState<OrderStep::kAcquireFence>;
   using Drain = MachineState<OrderStep::kDrain>;
-  using LookAgain = MachineState<OrderStep::kRecheckFence>;
-  using Order = MachineState<OrderStep::kSendOrder>;
-  using Over = MachineState<OrderStep::kCompleted>;
+  using RecheckFence = MachineState<OrderStep::kRecheckFence>;
+  using SendOrder = MachineState<OrderStep::kSendOrder>;
+  using Completed = MachineState<OrderStep::kCompleted>;
   using Lost = MachineState<OrderStep::kLost>;
   using initial_state = ReadFence;
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
-    //  from       event          to
-    Row<ReadFence, OwnEvent,      Drain>,
-    Row<ReadFence, OthersEvent,   TakeFence>,
-    Row<TakeFence, WrittenEvent,  Drain>,
-    Row<TakeFence, UnsureEvent,   ReadFence>,
-    Row<TakeFence, ConflictEvent, Lost>,
-    Row<Drain,     DrainedEvent,  LookAgain>,
-    Row<LookAgain, OwnEvent,      Order>,
-    Row<LookAgain, OthersEvent,   Lost>,
-    Row<LookAgain, UnsureEvent,   Lost>,
-    Row<Order,     OrderedEvent,  Over>
+    //  from          event               to
+    Row<ReadFence,    OwnTokenEvent,      Drain>,
+    Row<ReadFence,    OthersTokenEvent,   AcquireFence>,
+    Row<AcquireFence, WrittenEvent,       Drain>,
+    Row<AcquireFence, UnknownResultEvent, ReadFence>,
+    Row<AcquireFence, ConflictEvent,      Lost>,
+    Row<Drain,        DrainedEvent,       RecheckFence>,
+    Row<RecheckFence, OwnTokenEvent,      SendOrder>,
+    Row<RecheckFence, OthersTokenEvent,   Lost>,
+    Row<RecheckFence, UnknownResultEvent, Lost>,
+    Row<SendOrder,    OrderSentEvent,     Completed>
   > {};
   // clang-format on
 
@@ -68,7 +68,7 @@
   OrderStep mCurrent = OrderStep::kReadFence;
   std::string mHolder;
   std::uint64_t mEngineFence = 0;
-  StoredFence mFound;
+  StoredFence mStoredFence;
   std::uint64_t mFence = 0; ///< held, from kDrain on
 };
 
@@ -119,22 +119,22 @@
 }
 
 void
-OrderMachine::OnFenceRead(const Result<StoredFence>& aFound)
+OrderMachine::OnFenceRead(const Result<StoredFence>& aStoredFence)
 {
-  if (!aFound) {
-    mMachine->process_event(UnsureEvent{});
+  if (!aStoredFence) {
+    mMachine->process_event(UnknownResultEvent{});
     return;
   }
-  const FenceRecord& record = aFound->mRecord;
+  const FenceRecord& record = aStoredFence->mRecord;
   const bool isOwn =
-    aFound->mRevision != 0 && record.mHolder == mMachine->mHolder &&
+    aStoredFence->mRevision != 0 && record.mHolder == mMachine->mHolder &&
     (mMachine->mFence == 0 || record.mFence == mMachine->mFence);
-  mMachine->mFound = *aFound;
+  mMachine->mStoredFence = *aStoredFence;
   if (isOwn) {
     mMachine->mFence = record.mFence;
-    mMachine->process_event(OwnEvent{});
+    mMachine->process_event(OwnTokenEvent{});
   } else {
-    mMachine->process_event(OthersEvent{});
+    mMachine->process_event(OthersTokenEvent{});
   }
 }
 
@@ -147,7 +147,7 @@
   } else if (aRevision.error().mCode == ErrorCode::kConflict) {
     mMachine->process_event(ConflictEvent{});
   } else {
-    mMachine->process_event(UnsureEvent{});
+    mMachine->process_event(UnknownResultEvent{});
   }
 }
 
@@ -160,21 +160,21 @@
 void
 OrderMachine::OnOrderSent()
 {
-  mMachine->process_event(OrderedEvent{});
+  mMachine->process_event(OrderSentEvent{});
 }
 
 FenceRecord
 OrderMachine::Next() const
 {
   const std::uint64_t highest =
-    std::max(mMachine->mFound.mRecord.mFence, mMachine->mEngineFence);
+    std::max(mMachine->mStoredFence.mRecord.mFence, mMachine->mEngineFence);
   return { highest + 1, mMachine->mHolder };
 }
 
 std::uint64_t
 OrderMachine::Revision() const
 {
-  return mMachine->mFound.mRevision;
+  return mMachine->mStoredFence.mRevision;
 }
 
 std::uint64_t
--- a/packages/state/src/recent_changes.cpp
+++ b/packages/state/src/recent_changes.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::string_view kSinceMember = "{\"since\":";
+constexpr std::string_view kChangesPrefix = "{\"since\":";
 
 } // namespace
 
@@ -29,9 +29,9 @@
   for (const auto& change : aChanges.mChanges) {
     changes.push_back(WriteRawObject(change));
   }
-  // Its first member tells it from a whole configuration.
+  // The first member distinguishes it from a full configuration.
   return boost::json::serialize(
-    boost::json::object{ { "since", aChanges.mSince },
+    boost::json::object{ { "since", aChanges.mBaseRevision },
                          { "epoch", aChanges.mEpoch },
                          { "newest", aChanges.mNewest },
                          { "revision", aChanges.mCursor },
@@ -42,7 +42,7 @@
 bool
 IsConfigChanges(std::string_view aText)
 {
-  return aText.starts_with(kSinceMember);
+  return aText.starts_with(kChangesPrefix);
 }
 
 Result<ConfigChanges>
@@ -57,7 +57,7 @@
     return static_cast<std::uint64_t>(reader.Integer(aKey, 0, INT64_MAX));
   };
   ConfigChanges changes;
-  changes.mSince = number("since");
+  changes.mBaseRevision = number("since");
   changes.mEpoch = number("epoch");
   changes.mNewest = number("newest");
   changes.mCursor = number("revision");
@@ -73,13 +73,13 @@
 }
 
 void
-RecentChanges::Restart(std::uint64_t aEpoch, std::uint64_t aNewest)
+RecentChanges::Reset(std::uint64_t aEpoch, std::uint64_t aNewest)
 {
-  mKept = {};
+  mRetained = {};
   mBytes = 0;
-  mKept.mEpoch = aEpoch;
-  mKept.mSince = aNewest;
-  mKept.mNewest = aNewest;
+  mRetained.mEpoch = aEpoch;
+  mRetained.mBaseRevision = aNewest;
+  mRetained.mNewest = aNewest;
 }
 
 void
@@ -88,42 +88,45 @@
   std::sort(aChanges.begin(), aChanges.end(), [](auto& aLeft, auto& aRight) {
     return aLeft.mRevision < aRight.mRevision;
   });
-  auto& kept = mKept.mChanges;
+  auto& retained = mRetained.mChanges;
   for (auto& change : aChanges) {
-    if (change.mRevision > mKept.mNewest) {
-      mKept.mNewest = change.mRevision;
+    if (change.mRevision > mRetained.mNewest) {
+      mRetained.mNewest = change.mRevision;
       mBytes += change.mValue.size();
-      kept.push_back(std::move(change));
+      retained.push_back(std::move(change));
     }
   }
   std::size_t dropped = 0;
-  while (
-    kept.size() - dropped > 1 &&
-    (kept.size() - dropped > kMaxRecentChanges || mBytes > kMaxRecentBytes)) {
-    mBytes -= kept[dropped].mValue.size();
-    mKept.mSince = kept[dropped].mRevision;
+  while (retained.size() - dropped > 1 &&
+         (retained.size() - dropped > kMaxRecentChanges ||
+          mBytes > kMaxRecentBytes)) {
+    mBytes -= retained[dropped].mValue.size();
+    mRetained.mBaseRevision = retained[dropped].mRevision;
     ++dropped;
   }
-  kept.erase(kept.begin(), kept.begin() + static_cast<std::ptrdiff_t>(dropped));
+  retained.erase(retained.begin(),
+                 retained.begin() + static_cast<std::ptrdiff_t>(dropped));
 }
 
 void
-RecentChanges::Complete(std::uint64_t aCursor, std::uint64_t aDigest)
+RecentChanges::SetEndState(std::uint64_t aCursor, std::uint64_t aDigest)
 {
-  mKept.mCursor = aCursor;
-  mKept.mDigest = aDigest;
+  mRetained.mCursor = aCursor;
+  mRetained.mDigest = aDigest;
 }
 
 std::string
-RecentChanges::SerializeSince(std::uint64_t aEpoch, std::uint64_t aHave) const
+RecentChanges::SerializeSince(std::uint64_t aEpoch,
+                              std::uint64_t aPeerRevision) const
 {
-  if (aHave == 0 || aEpoch != mKept.mEpoch || aHave < mKept.mSince) {
+  if (aPeerRevision == 0 || aEpoch != mRetained.mEpoch ||
+      aPeerRevision < mRetained.mBaseRevision) {
     return {};
   }
-  ConfigChanges changes = mKept;
-  changes.mSince = aHave;
+  ConfigChanges changes = mRetained;
+  changes.mBaseRevision = aPeerRevision;
   std::erase_if(changes.mChanges, [&](const RawObject& aChange) {
-    return aChange.mRevision <= aHave;
+    return aChange.mRevision <= aPeerRevision;
   });
   return WriteConfigChanges(changes);
 }
--- a/packages/state/src/relay_config.cpp
+++ b/packages/state/src/relay_config.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Host of a Host header: lower case, without a port.
+/// Host name of a Host header: lower case, without a port.
 std::string
-PlainHost(std::string_view aHost)
+NormalizeHost(std::string_view aHost)
 {
   std::string host(aHost.substr(0, aHost.rfind(':')));
   std::transform(
@@ -25,7 +25,7 @@
   : mRules(std::move(aRules))
 {
   for (const auto& route : mRules.mRoutes) {
-    mByHost[PlainHost(route.mHost)].push_back(&route);
+    mByHost[NormalizeHost(route.mHost)].push_back(&route);
   }
   for (auto& [host, routes] : mByHost) {
     std::stable_sort(
@@ -46,7 +46,7 @@
 const RouteRule*
 RelayConfig::RouteOf(std::string_view aHost, std::string_view aPath) const
 {
-  const auto found = mByHost.find(PlainHost(aHost));
+  const auto found = mByHost.find(NormalizeHost(aHost));
   if (found == mByHost.end()) {
     return nullptr;
   }
--- a/packages/state/src/settings.cpp
+++ b/packages/state/src/settings.cpp
@@ -13,8 +13,7 @@
 constexpr std::int64_t kMaxBytes = 1LL << 30;
 constexpr std::size_t kMinSecretBytes = 16;
 
-/// Longer than any request may take, so that no retry of it finds its claim
-/// deleted.
+/// Longer than any request may take, so that no retry finds its claim deleted.
 constexpr Millis kMinClaimRetention{ 2L * 3600 * 1000 };
 constexpr Millis kMaxClaimRetention{ 30L * 24 * 3600 * 1000 };
 
@@ -36,7 +35,7 @@
   return text;
 }
 
-/// Reads a nested object, if it is there, by a function.
+/// Reads a nested object with a function, if it is present.
 template<typename Function>
 void
 ReadNested(JsonReader& aReader, std::string_view aKey, Function aRead)
--- a/packages/state/src/watchers.cpp
+++ b/packages/state/src/watchers.cpp
@@ -11,13 +11,13 @@
 
 constexpr std::string_view kWatchersKey = "watchers";
 
-/// The first companions for a key that stay and pass a filter.
+/// The first companions for a key that are not leaving and pass a filter.
 template<typename Filter>
 std::vector<InstanceInfo>
-FirstCompanions(const std::vector<InstanceInfo>& aInstances,
-                std::uint64_t aKey,
-                std::size_t aCount,
-                Filter aFilter)
+SelectCompanions(const std::vector<InstanceInfo>& aInstances,
+                 std::uint64_t aKey,
+                 std::size_t aCount,
+                 Filter aFilter)
 {
   std::vector<RendezvousMember> members;
   for (std::uint32_t i = 0; i < aInstances.size(); ++i) {
@@ -41,11 +41,11 @@
                std::string_view aZone,
                std::size_t aCount)
 {
-  return FirstCompanions(
+  return SelectCompanions(
     aInstances,
     PlacementHash(kWatchersKey),
     aCount,
-    [&](const InstanceInfo& aOne) { return aOne.mZone == aZone; });
+    [&](const InstanceInfo& aInstance) { return aInstance.mZone == aZone; });
 }
 
 std::vector<InstanceInfo>
@@ -53,10 +53,11 @@
             std::string_view aName,
             std::size_t aCount)
 {
-  return FirstCompanions(
-    aInstances, PlacementHash(aName), aCount, [&](const InstanceInfo& aOne) {
-      return aOne.mName != aName;
-    });
+  return SelectCompanions(
+    aInstances,
+    PlacementHash(aName),
+    aCount,
+    [&](const InstanceInfo& aInstance) { return aInstance.mName != aName; });
 }
 
 bool
@@ -69,10 +70,11 @@
     return true;
   }
   const auto watchers = SelectWatchers(aInstances, aZone, aSettings.mPerZone);
-  return watchers.empty() ||
-         std::any_of(watchers.begin(), watchers.end(), [&](const auto& aOne) {
-           return aOne.mName == aName;
-         });
+  return watchers.empty() || std::any_of(watchers.begin(),
+                                         watchers.end(),
+                                         [&](const auto& aInstance) {
+                                           return aInstance.mName == aName;
+                                         });
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/src/zone_watchers.cpp
+++ b/packages/state/src/zone_watchers.cpp
@@ -33,8 +33,8 @@
     return watchers;
   }
   const auto key = PlacementHash(kWatchersKey);
-  for (const auto& one : RendezvousOrder(members, key, aSettings.mPerZone)) {
-    watchers.push_back(aEndpoints[one.mHandle.mIndex].mAddress);
+  for (const auto& member : RendezvousOrder(members, key, aSettings.mPerZone)) {
+    watchers.push_back(aEndpoints[member.mHandle.mIndex].mAddress);
   }
   return watchers;
 }
