--- a/packages/state/tests/at_most_once_test.cpp
+++ b/packages/state/tests/at_most_once_test.cpp
@@ -1,5 +1,5 @@
-// The story of a request that must not be repeated: claims under lost answers,
-// late writes, crashes, racing routers and pauses.
+// Tests that a non-repeatable request runs at most once: claims under lost
+// responses, late writes, crashes, racing routers and pauses.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -33,12 +33,12 @@
   ClaimMachine mMachine{ "mine", "digest" };
 };
 
-TEST_F(GivenAClaim, AnAnsweredCreateHoldsIt)
+TEST_F(GivenAClaim, ASuccessfulCreateHoldsIt)
 {
   mMachine.OnCreateResult(7);
   EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
   {
-    SCOPED_TRACE("and nothing takes it back");
+    SCOPED_TRACE("and later events do not change that");
     mMachine.OnTimeout();
     mMachine.OnCreateResult(Failed(ErrorCode::kTimeout));
     EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
@@ -61,7 +61,7 @@
   EXPECT_EQ(mMachine.Step(), ClaimStep::kKeyReused);
 }
 
-TEST_F(GivenAClaim, RecordsSurviveTheirText)
+TEST_F(GivenAClaim, RecordsSurviveSerialization)
 {
   ClaimRecord record = mMachine.NewRecord(12345);
   record.mIsDone = true;
@@ -99,7 +99,7 @@
   EXPECT_EQ(mMachine.Step(), ClaimStep::kHeldByOther);
 }
 
-TEST_F(WhoseAnswerWasLost, WhereNothingStandsItIsCreatedAgain)
+TEST_F(WhoseAnswerWasLost, WithoutARecordItIsCreatedAgain)
 {
   mMachine.OnReadResult(std::optional<ClaimRecord>());
   EXPECT_EQ(mMachine.Step(), ClaimStep::kCreate);
@@ -120,66 +120,66 @@
 
 TEST_F(GivenARequest, ARefusalLeavesItNotRun)
 {
-  RequestLifecycle life(Repeatability::kClaimed);
-  life.Offered();
-  life.Refused();
-  EXPECT_TRUE(life.IsNotRun());
-  EXPECT_TRUE(life.MayOffer());
+  RequestLifecycle lifecycle(Repeatability::kClaimed);
+  lifecycle.Offered();
+  lifecycle.Refused();
+  EXPECT_TRUE(lifecycle.IsNotRun());
+  EXPECT_TRUE(lifecycle.MayOffer());
 }
 
-TEST_F(GivenARequest, ALossIsNeverForgotten)
+TEST_F(GivenARequest, ALostAttemptIsRemembered)
 {
-  RequestLifecycle life(Repeatability::kRepeatable);
-  life.Offered();
-  life.Lost();
-  EXPECT_TRUE(life.MayOffer());
-  life.Offered();
-  life.Refused();
-  EXPECT_FALSE(life.IsNotRun());
+  RequestLifecycle lifecycle(Repeatability::kRepeatable);
+  lifecycle.Offered();
+  lifecycle.Lost();
+  EXPECT_TRUE(lifecycle.MayOffer());
+  lifecycle.Offered();
+  lifecycle.Refused();
+  EXPECT_FALSE(lifecycle.IsNotRun());
 }
 
-TEST_F(GivenARequest, WhatNothingGuardsIsNotSentAgainAfterALoss)
+TEST_F(GivenARequest, AnUnclaimedOneIsNotSentAgainAfterALoss)
 {
-  RequestLifecycle life(Repeatability::kUnclaimed);
-  life.Offered();
-  life.Lost();
-  EXPECT_FALSE(life.MayOffer());
+  RequestLifecycle lifecycle(Repeatability::kUnclaimed);
+  lifecycle.Offered();
+  lifecycle.Lost();
+  EXPECT_FALSE(lifecycle.MayOffer());
 }
 
 TEST_F(GivenARequest, AClaimedOneIsSentAgainUntilItWasStarted)
 {
-  RequestLifecycle life(Repeatability::kClaimed);
-  life.Offered();
-  life.Lost();
-  EXPECT_TRUE(life.MayOffer());
-  life.Offered();
-  life.Started();
-  life.Lost();
-  EXPECT_FALSE(life.MayOffer());
-  EXPECT_FALSE(life.IsNotRun());
+  RequestLifecycle lifecycle(Repeatability::kClaimed);
+  lifecycle.Offered();
+  lifecycle.Lost();
+  EXPECT_TRUE(lifecycle.MayOffer());
+  lifecycle.Offered();
+  lifecycle.Started();
+  lifecycle.Lost();
+  EXPECT_FALSE(lifecycle.MayOffer());
+  EXPECT_FALSE(lifecycle.IsNotRun());
 }
 
 TEST_F(GivenARequest, ThatOneWasLostIsRememberedWhenItsClaimIsFoundTaken)
 {
-  // The claim may then be its own: no earlier request need have taken it.
-  RequestLifecycle life(Repeatability::kClaimed);
-  life.Offered();
-  EXPECT_FALSE(life.WasLost());
-  life.Lost();
-  life.Offered();
-  life.Settled();
-  EXPECT_TRUE(life.WasLost());
-  EXPECT_FALSE(life.IsNotRun());
+  // The claim may then be its own; no earlier request need have made it.
+  RequestLifecycle lifecycle(Repeatability::kClaimed);
+  lifecycle.Offered();
+  EXPECT_FALSE(lifecycle.WasLost());
+  lifecycle.Lost();
+  lifecycle.Offered();
+  lifecycle.Settled();
+  EXPECT_TRUE(lifecycle.WasLost());
+  EXPECT_FALSE(lifecycle.IsNotRun());
 }
 
-TEST_F(GivenARequest, LateNewsAfterItsEndChangesNothing)
+TEST_F(GivenARequest, LateEventsAfterItsEndChangeNothing)
 {
-  RequestLifecycle life(Repeatability::kRepeatable);
-  life.Offered();
-  life.Finished();
-  life.Lost();
-  life.Refused();
-  EXPECT_EQ(life.State(), RequestState::kComplete);
+  RequestLifecycle lifecycle(Repeatability::kRepeatable);
+  lifecycle.Offered();
+  lifecycle.Finished();
+  lifecycle.Lost();
+  lifecycle.Refused();
+  EXPECT_EQ(lifecycle.State(), RequestState::kComplete);
 }
 
 RC_GTEST_PROP(GeneratedClaims,
@@ -188,60 +188,60 @@
 {
   const History history = ClaimSimulation(ClaimMechanisms{}).Run(aSchedule);
   RC_ASSERT(CheckAtMostOnce(history).empty());
-  RC_ASSERT(CheckNotRunIsTrue(history).empty());
+  RC_ASSERT(CheckNotRunReports(history).empty());
 }
 
-/// Each mechanism taken out in turn: the checkers must find the harm.
+/// Disables each mechanism in turn: the checkers must find violations.
 class WithoutAMechanism : public ::testing::Test
 {
 protected:
-  struct Found
+  struct ViolationCounts
   {
-    int mTwice = 0;
+    int mExecutedTwice = 0;
     int mFalseNotRun = 0;
   };
 
-  static Found Search(const ClaimMechanisms& aMechanisms)
+  static ViolationCounts Search(const ClaimMechanisms& aMechanisms)
   {
     constexpr int kSchedules = 5000;
-    Found found;
+    ViolationCounts counts;
     ForEachSchedule(kSchedules, [&](const auto& aSchedule) {
       const History history = ClaimSimulation(aMechanisms).Run(aSchedule);
-      found.mTwice += CheckAtMostOnce(history).empty() ? 0 : 1;
-      found.mFalseNotRun += CheckNotRunIsTrue(history).empty() ? 0 : 1;
+      counts.mExecutedTwice += CheckAtMostOnce(history).empty() ? 0 : 1;
+      counts.mFalseNotRun += CheckNotRunReports(history).empty() ? 0 : 1;
     });
-    return found;
+    return counts;
   }
 };
 
-TEST_F(WithoutAMechanism, NoneTakenOutNoneIsBroken)
+TEST_F(WithoutAMechanism, WithAllOfThemNothingIsViolated)
 {
-  const Found found = Search({});
-  EXPECT_EQ(found.mTwice, 0);
-  EXPECT_EQ(found.mFalseNotRun, 0);
+  const ViolationCounts counts = Search({});
+  EXPECT_EQ(counts.mExecutedTwice, 0);
+  EXPECT_EQ(counts.mFalseNotRun, 0);
 }
 
 TEST_F(WithoutAMechanism, WithoutClaimsKeysRunTwice)
 {
-  EXPECT_GT(Search({ .mClaims = false }).mTwice, 0);
+  EXPECT_GT(Search({ .mClaims = false }).mExecutedTwice, 0);
 }
 
 TEST_F(WithoutAMechanism, WithoutReadingBackKeysRunTwice)
 {
-  EXPECT_GT(Search({ .mReadsBack = false }).mTwice, 0);
+  EXPECT_GT(Search({ .mReadsBack = false }).mExecutedTwice, 0);
 }
 
 TEST_F(WithoutAMechanism, WithoutTheNonceAReleaseFreesAnothersClaim)
 {
-  EXPECT_GT(Search({ .mChecksNonce = false }).mTwice, 0);
+  EXPECT_GT(Search({ .mChecksNonce = false }).mExecutedTwice, 0);
 }
 
-TEST_F(WithoutAMechanism, WithoutDoubtNotRunIsSaidOfWhatRan)
+TEST_F(WithoutAMechanism, WithoutUncertaintyNotRunIsReportedOfWhatRan)
 {
-  EXPECT_GT(Search({ .mRemembersDoubt = false }).mFalseNotRun, 0);
+  EXPECT_GT(Search({ .mTracksUncertainty = false }).mFalseNotRun, 0);
 }
 
-TEST_F(WithoutAMechanism, WithoutTheClockAPausedCompanionRunsWhatItRefused)
+TEST_F(WithoutAMechanism, WithoutTheDeadlineAPausedCompanionRunsWhatItRefused)
 {
   EXPECT_GT(Search({ .mChecksDeadline = false }).mFalseNotRun, 0);
 }
--- a/packages/state/tests/claim_retention_test.cpp
+++ b/packages/state/tests/claim_retention_test.cpp
@@ -1,4 +1,4 @@
-// The story of old claims: where they stand, who deletes them, and which.
+// Tests of old claims: where they are stored, who deletes them, and which.
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 namespace shuntjunction::state {
 namespace {
 
-TEST(GivenClaimKeys, EachStandsBelowItsShard)
+TEST(GivenClaimKeys, EachIsStoredUnderItsShard)
 {
   const std::string key = ClaimKey("north", "booking-7");
   std::size_t below = 0;
@@ -81,7 +81,7 @@
   Add(900);
   EXPECT_EQ(Expired(kNow + 3'600'000), 0U);
   {
-    SCOPED_TRACE("nor a claimant's");
+    SCOPED_TRACE("nor does a claimant's");
     Add(-3'600'000);
     EXPECT_EQ(Expired(), 0U);
   }
--- a/packages/state/tests/claim_simulation.cpp
+++ b/packages/state/tests/claim_simulation.cpp
@@ -7,24 +7,24 @@
 constexpr std::size_t kMaxRequests = 6;
 constexpr int kKeys = 2;
 
-/// What the platform does with a call.
-enum class PlatformFate : std::uint8_t
+/// Result of a call to the platform.
+enum class CallResult : std::uint8_t
 {
-  kAnswers,
-  kAnswerIsLost, ///< after the effect
-  kCallIsLost,   ///< before it
-  kTakesEffectLater,
-  kIsDown,
+  kAnswered,
+  kResponseLost, ///< after it took effect
+  kCallLost,     ///< before it took effect
+  kDelayed,      ///< takes effect later
+  kRefused,      ///< the platform is down
 };
 
-PlatformFate
-FateOf(std::uint8_t aChoice)
+CallResult
+CallResultOf(std::uint8_t aChoice)
 {
-  return static_cast<PlatformFate>(aChoice % 5);
+  return static_cast<CallResult>(aChoice % 5);
 }
 
 tl::unexpected<Error>
-NoAnswer()
+NoResponse()
 {
   return Fail(ErrorCode::kTimeout, "test", "platform", "no answer");
 }
@@ -36,26 +36,26 @@
   int mId = 0;
   std::string mKey;
   std::string mBody;
-  RequestLifecycle mLife{ Repeatability::kClaimed };
-  bool mIsRouterDead = false;
-  Attempt* mOpen = nullptr;
+  RequestLifecycle mLifecycle{ Repeatability::kClaimed };
+  bool mHasRouterCrashed = false;
+  Attempt* mAttempt = nullptr;
 };
 
 struct ClaimSimulation::Attempt
 {
-  Request* mRequest = nullptr; ///< null when the router no longer listens
+  Request* mRequest = nullptr; ///< null when the router no longer waits
   int mRequestId = 0;
   std::string mKey;
   std::unique_ptr<ClaimMachine> mMachine;
   std::string mNonce;
-  bool mIsDead = false;
+  bool mHasEnded = false;
 };
 
 struct ClaimSimulation::Release
 {
   std::string mKey;
   std::string mNonce;
-  std::optional<Stored> mSeen;
+  std::optional<StoredClaim> mReadClaim;
   bool mIsDone = false;
 };
 
@@ -67,7 +67,7 @@
 ClaimSimulation::~ClaimSimulation() = default;
 
 void
-ClaimSimulation::Begin(std::uint8_t aChoice)
+ClaimSimulation::StartRequest(std::uint8_t aChoice)
 {
   if (mRequests.size() >= kMaxRequests) {
     return;
@@ -80,12 +80,12 @@
 }
 
 void
-ClaimSimulation::Offer(Request& aRequest)
+ClaimSimulation::SendAttempt(Request& aRequest)
 {
-  if (aRequest.mIsRouterDead || !aRequest.mLife.MayOffer()) {
+  if (aRequest.mHasRouterCrashed || !aRequest.mLifecycle.MayOffer()) {
     return;
   }
-  aRequest.mLife.Offered();
+  aRequest.mLifecycle.Offered();
   auto attempt = std::make_unique<Attempt>();
   attempt->mRequest = &aRequest;
   attempt->mRequestId = aRequest.mId;
@@ -93,7 +93,7 @@
   attempt->mNonce = std::to_string(++mNextNonce);
   attempt->mMachine =
     std::make_unique<ClaimMachine>(attempt->mNonce, aRequest.mBody);
-  aRequest.mOpen = attempt.get();
+  aRequest.mAttempt = attempt.get();
   mAttempts.push_back(std::move(attempt));
 }
 
@@ -112,35 +112,35 @@
 {
   ClaimMachine& machine = *aAttempt.mMachine;
   const ClaimRecord record = machine.NewRecord(0);
-  switch (FateOf(aChoice)) {
-    case PlatformFate::kAnswers:
+  switch (CallResultOf(aChoice)) {
+    case CallResult::kAnswered:
       machine.OnCreateResult(Create(aAttempt.mKey, record));
       return;
-    case PlatformFate::kAnswerIsLost:
+    case CallResult::kResponseLost:
       Create(aAttempt.mKey, record);
       break;
-    case PlatformFate::kCallIsLost:
+    case CallResult::kCallLost:
       break;
-    case PlatformFate::kTakesEffectLater:
-      mDelayed.push_back({ aAttempt.mKey, record });
+    case CallResult::kDelayed:
+      mDelayedCreates.push_back({ aAttempt.mKey, record });
       break;
-    case PlatformFate::kIsDown:
+    case CallResult::kRefused:
       machine.OnCreateResult(
         Fail(ErrorCode::kUnavailable, "test", "platform", "down"));
       return;
   }
   if (!mMechanisms.mReadsBack) {
-    machine.OnCreateResult(++mRevision); // It trusts that it was written.
+    machine.OnCreateResult(++mRevision); // It assumes success.
     return;
   }
-  machine.OnCreateResult(NoAnswer());
+  machine.OnCreateResult(NoResponse());
 }
 
 void
 ClaimSimulation::StepReadBack(Attempt& aAttempt, std::uint8_t aChoice)
 {
-  if (FateOf(aChoice) != PlatformFate::kAnswers) {
-    aAttempt.mMachine->OnReadResult(NoAnswer());
+  if (CallResultOf(aChoice) != CallResult::kAnswered) {
+    aAttempt.mMachine->OnReadResult(NoResponse());
     return;
   }
   const auto stored = mPlatform.find(aAttempt.mKey);
@@ -154,9 +154,9 @@
 void
 ClaimSimulation::EndAttempt(Attempt& aAttempt)
 {
-  aAttempt.mIsDead = true;
+  aAttempt.mHasEnded = true;
   if (aAttempt.mRequest != nullptr) {
-    aAttempt.mRequest->mOpen = nullptr;
+    aAttempt.mRequest->mAttempt = nullptr;
   }
 }
 
@@ -164,7 +164,7 @@
 ClaimSimulation::RefuseNotRun(Attempt& aAttempt)
 {
   if (aAttempt.mRequest != nullptr) {
-    aAttempt.mRequest->mLife.Refused();
+    aAttempt.mRequest->mLifecycle.Refused();
   }
   EndAttempt(aAttempt);
   auto release = std::make_unique<Release>();
@@ -174,7 +174,7 @@
 }
 
 void
-ClaimSimulation::StepHandOver(Attempt& aAttempt, std::uint8_t aChoice)
+ClaimSimulation::StepExecute(Attempt& aAttempt, std::uint8_t aChoice)
 {
   const bool isLate = aChoice % 4 == 3;
   if (isLate && mMechanisms.mChecksDeadline) {
@@ -182,18 +182,18 @@
     return;
   }
   if (isLate && aAttempt.mRequest != nullptr) {
-    // Without the look at the clock it refuses and hands over all the same.
-    aAttempt.mRequest->mLife.Refused();
+    // Without the deadline check it refuses the request and executes it anyway.
+    aAttempt.mRequest->mLifecycle.Refused();
     mHistory.mExecuted.push_back({ aAttempt.mKey, aAttempt.mRequestId });
     EndAttempt(aAttempt);
     return;
   }
   if (aAttempt.mRequest != nullptr) {
-    aAttempt.mRequest->mLife.Started();
+    aAttempt.mRequest->mLifecycle.Started();
   }
   mHistory.mExecuted.push_back({ aAttempt.mKey, aAttempt.mRequestId });
   if (aChoice % 4 == 0 && aAttempt.mRequest != nullptr) {
-    aAttempt.mRequest->mLife.Finished();
+    aAttempt.mRequest->mLifecycle.Finished();
   }
   if (aChoice % 4 <= 1) { // The outcome is recorded.
     const auto stored = mPlatform.find(aAttempt.mKey);
@@ -209,12 +209,12 @@
 void
 ClaimSimulation::Step(Attempt& aAttempt, std::uint8_t aChoice)
 {
-  if (aAttempt.mIsDead) {
+  if (aAttempt.mHasEnded) {
     return;
   }
   ClaimMachine& machine = *aAttempt.mMachine;
   if (!mMechanisms.mClaims) {
-    StepHandOver(aAttempt, aChoice);
+    StepExecute(aAttempt, aChoice);
     return;
   }
   if (aChoice % 16 == 15) {
@@ -228,22 +228,22 @@
       StepReadBack(aAttempt, aChoice);
       return;
     case ClaimStep::kExecute:
-      StepHandOver(aAttempt, aChoice);
+      StepExecute(aAttempt, aChoice);
       return;
     case ClaimStep::kUndecided:
       RefuseNotRun(aAttempt);
       return;
     case ClaimStep::kReplay:
       if (aAttempt.mRequest != nullptr) {
-        aAttempt.mRequest->mLife.Started();
-        aAttempt.mRequest->mLife.Finished();
+        aAttempt.mRequest->mLifecycle.Started();
+        aAttempt.mRequest->mLifecycle.Finished();
       }
       EndAttempt(aAttempt);
       return;
     case ClaimStep::kHeldByOther:
     case ClaimStep::kKeyReused:
       if (aAttempt.mRequest != nullptr) {
-        aAttempt.mRequest->mLife.Settled();
+        aAttempt.mRequest->mLifecycle.Settled();
       }
       EndAttempt(aAttempt);
       return;
@@ -257,7 +257,7 @@
     return;
   }
   const auto stored = mPlatform.find(aRelease.mKey);
-  if (!aRelease.mSeen) { // First it reads.
+  if (!aRelease.mReadClaim) { // First it reads.
     if (stored == mPlatform.end()) {
       return;
     }
@@ -266,36 +266,36 @@
       aRelease.mIsDone = true;
       return;
     }
-    aRelease.mSeen = stored->second;
+    aRelease.mReadClaim = stored->second;
     return;
   }
   // Then it deletes, on condition that nothing has changed since.
   if (stored != mPlatform.end() &&
-      stored->second.mRevision == aRelease.mSeen->mRevision) {
+      stored->second.mRevision == aRelease.mReadClaim->mRevision) {
     mPlatform.erase(stored);
   }
   aRelease.mIsDone = true;
 }
 
 void
-ClaimSimulation::Tell(Request& aRequest)
+ClaimSimulation::ReportOutcome(Request& aRequest)
 {
-  if (aRequest.mIsRouterDead) {
-    return; // Its caller hears nothing, which says nothing.
+  if (aRequest.mHasRouterCrashed) {
+    return; // Its caller gets no outcome to check.
   }
-  const RequestState state = aRequest.mLife.State();
+  const RequestState state = aRequest.mLifecycle.State();
   if (state == RequestState::kOffered || state == RequestState::kRunning) {
-    aRequest.mLife.Lost();
+    aRequest.mLifecycle.Lost();
   }
-  Told told;
-  told.mRequest = aRequest.mId;
-  told.mIsAnswer = state == RequestState::kComplete;
+  ReportedOutcome outcome;
+  outcome.mRequest = aRequest.mId;
+  outcome.mIsAnswer = state == RequestState::kComplete;
   const bool isNotRun =
-    mMechanisms.mRemembersDoubt
-      ? aRequest.mLife.IsNotRun()
-      : state == RequestState::kUncertain || aRequest.mLife.IsNotRun();
-  told.mRunState = isNotRun ? RunState::kNotRun : RunState::kUnknown;
-  mHistory.mTold.push_back(told);
+    mMechanisms.mTracksUncertainty
+      ? aRequest.mLifecycle.IsNotRun()
+      : state == RequestState::kUncertain || aRequest.mLifecycle.IsNotRun();
+  outcome.mRunState = isNotRun ? RunState::kNotRun : RunState::kUnknown;
+  mHistory.mReportedOutcomes.push_back(outcome);
 }
 
 History
@@ -304,62 +304,62 @@
   const auto pick = [](auto& aList, std::uint8_t aChoice) -> auto* {
     return aList.empty() ? nullptr : aList[aChoice % aList.size()].get();
   };
-  Begin(0);
+  StartRequest(0);
   for (std::size_t i = 0; i + 1 < aSchedule.size(); i += 2) {
-    const std::uint8_t what = aSchedule[i];
-    const std::uint8_t how = aSchedule[i + 1];
-    Request* request = pick(mRequests, how);
-    Attempt* attempt = pick(mAttempts, what / 16);
-    switch (what % 16) {
+    const std::uint8_t action = aSchedule[i];
+    const std::uint8_t detail = aSchedule[i + 1];
+    Request* request = pick(mRequests, detail);
+    Attempt* attempt = pick(mAttempts, action / 16);
+    switch (action % 16) {
       case 0:
-        Begin(how);
+        StartRequest(detail);
         break;
       case 1:
       case 2:
       case 3:
-        Offer(*request);
+        SendAttempt(*request);
         break;
-      case 4: // The router loses patience, or the link breaks.
-        if (request->mOpen != nullptr) {
-          request->mOpen->mRequest = nullptr;
-          request->mOpen = nullptr;
-          request->mLife.Lost();
+      case 4: // The router times out, or the connection breaks.
+        if (request->mAttempt != nullptr) {
+          request->mAttempt->mRequest = nullptr;
+          request->mAttempt = nullptr;
+          request->mLifecycle.Lost();
         }
         break;
-      case 5: // The companion dies between two steps.
+      case 5: // The companion crashes between two steps.
         if (attempt != nullptr) {
-          attempt->mIsDead = true;
+          attempt->mHasEnded = true;
         }
         break;
-      case 6: // The router dies between two steps.
-        request->mIsRouterDead = true;
-        if (request->mOpen != nullptr) {
-          request->mOpen->mRequest = nullptr;
-          request->mOpen = nullptr;
+      case 6: // The router crashes between two steps.
+        request->mHasRouterCrashed = true;
+        if (request->mAttempt != nullptr) {
+          request->mAttempt->mRequest = nullptr;
+          request->mAttempt = nullptr;
         }
         break;
       case 7:
-        if (!mDelayed.empty()) {
-          const Delayed late = mDelayed.front();
-          mDelayed.erase(mDelayed.begin());
-          Create(late.mKey, late.mRecord);
+        if (!mDelayedCreates.empty()) {
+          const DelayedCreate delayed = mDelayedCreates.front();
+          mDelayedCreates.erase(mDelayedCreates.begin());
+          Create(delayed.mKey, delayed.mRecord);
         }
         break;
       case 8:
       case 9:
-        if (Release* release = pick(mReleases, how)) {
+        if (Release* release = pick(mReleases, detail)) {
           StepRelease(*release);
         }
         break;
       default:
         if (attempt != nullptr) {
-          Step(*attempt, how);
+          Step(*attempt, detail);
         }
         break;
     }
   }
   for (const auto& request : mRequests) {
-    Tell(*request);
+    ReportOutcome(*request);
   }
   return mHistory;
 }
--- a/packages/state/tests/claim_simulation.h
+++ b/packages/state/tests/claim_simulation.h
@@ -11,25 +11,25 @@
 #include "shuntjunction/state/claim_machine.h"
 #include "shuntjunction/state/request_lifecycle.h"
 
-/// Routers, companions and a platform that run not-repeatable requests, step
-/// by step as a schedule says.
+/// Simulates routers, companions and a platform that run non-repeatable
+/// requests, step by step as a schedule says.
 namespace shuntjunction::state::history {
 
-/// What may be taken out, to see that the promise then breaks.
+/// Mechanisms that can be disabled, to show that the guarantee then fails.
 struct ClaimMechanisms
 {
-  bool mClaims = true;         ///< a claim precedes the hand-over
-  bool mReadsBack = true;      ///< a lost answer is settled by reading
-  bool mChecksNonce = true;    ///< a release deletes only its own record
-  bool mRemembersDoubt = true; ///< what may have run is not said to be not run
-  bool mChecksDeadline = true; ///< a paused companion looks at the clock
+  bool mClaims = true;      ///< a claim precedes the execution
+  bool mReadsBack = true;   ///< a lost response is resolved by reading back
+  bool mChecksNonce = true; ///< a release deletes only its own record
+  bool mTracksUncertainty = true; ///< a possible run is not reported as not run
+  bool mChecksDeadline = true;    ///< a paused companion checks the deadline
 };
 
 /// Runs one schedule.
 ///
-/// Each byte of a schedule is one step: a new request, an offer, a step of a
-/// companion with an answer, a lost answer or a late one, a crash, a loss of
-/// patience, a delayed write that takes effect.
+/// Each pair of bytes of a schedule is one step: a new request, an attempt, a
+/// step of a companion with a response, a lost or a delayed one, a crash, a
+/// timeout, a delayed write that takes effect.
 class ClaimSimulation
 {
 public:
@@ -38,16 +38,16 @@
   ClaimSimulation(const ClaimSimulation&) = delete;
   ClaimSimulation& operator=(const ClaimSimulation&) = delete;
 
-  /// Runs the schedule to its end and tells every caller how it ended.
+  /// Runs the whole schedule and reports to every caller how its request ended.
   History Run(const std::vector<std::uint8_t>& aSchedule);
 
 private:
-  struct Stored
+  struct StoredClaim
   {
     ClaimRecord mRecord;
     std::uint64_t mRevision = 0;
   };
-  struct Delayed
+  struct DelayedCreate
   {
     std::string mKey;
     ClaimRecord mRecord;
@@ -56,23 +56,23 @@
   struct Attempt;
   struct Release;
 
-  void Begin(std::uint8_t aChoice);
-  void Offer(Request& aRequest);
+  void StartRequest(std::uint8_t aChoice);
+  void SendAttempt(Request& aRequest);
   void Step(Attempt& aAttempt, std::uint8_t aChoice);
   void StepCreate(Attempt& aAttempt, std::uint8_t aChoice);
   void StepReadBack(Attempt& aAttempt, std::uint8_t aChoice);
-  void StepHandOver(Attempt& aAttempt, std::uint8_t aChoice);
+  void StepExecute(Attempt& aAttempt, std::uint8_t aChoice);
   void StepRelease(Release& aRelease);
   void EndAttempt(Attempt& aAttempt);
   void RefuseNotRun(Attempt& aAttempt);
   Result<std::uint64_t> Create(const std::string& aKey,
                                const ClaimRecord& aRecord);
-  void Tell(Request& aRequest);
+  void ReportOutcome(Request& aRequest);
 
   ClaimMechanisms mMechanisms;
   History mHistory;
-  std::map<std::string, Stored> mPlatform;
-  std::vector<Delayed> mDelayed;
+  std::map<std::string, StoredClaim> mPlatform;
+  std::vector<DelayedCreate> mDelayedCreates;
   std::vector<std::unique_ptr<Request>> mRequests;
   std::vector<std::unique_ptr<Attempt>> mAttempts;
   std::vector<std::unique_ptr<Release>> mReleases;
--- a/packages/state/tests/config_test.cpp
+++ b/packages/state/tests/config_test.cpp
@@ -1,5 +1,5 @@
-// The story of the configuration: read and checked, put in force, never going
-// back, whatever the platform, its watches and the peers say.
+// Tests that the configuration is validated and activated, and never reverts,
+// whatever the platform, its watches and the peers deliver.
 
 #include <algorithm>
 #include <array>
@@ -167,21 +167,21 @@
   EXPECT_NE(mStore.Current()->mQuarantined[0].mReason.find("weights"),
             std::string::npos);
   {
-    SCOPED_TRACE("a whole list with it keeps the good one as well");
+    SCOPED_TRACE("a full list with it keeps the good one as well");
     mStore.ApplyList(12,
                      { { "config/models/m", 11, R"({"weights":"x"})" },
                        { "config/models/n", 12, R"({"weights":1})" } });
     EXPECT_EQ(Weights(), 4U);
   }
   {
-    SCOPED_TRACE("a peer that starts takes both from here");
+    SCOPED_TRACE("a peer that starts receives both");
     ConfigStore peer;
     ASSERT_TRUE(peer.ApplyPeer(mStore.Serialize(), "peer").has_value());
     EXPECT_EQ(peer.Current()->mModels.at("m").mWeights, 4U);
     EXPECT_EQ(peer.Current()->mQuarantined.size(), 1U);
   }
   {
-    SCOPED_TRACE("a good one takes its place");
+    SCOPED_TRACE("a valid one replaces it");
     mStore.ApplyChanges(13, { Model(13, 6) });
     EXPECT_EQ(Weights(), 6U);
     EXPECT_TRUE(mStore.Current()->mQuarantined.empty());
@@ -197,7 +197,7 @@
             MergeOutcome::kApplied);
   EXPECT_EQ(Weights(), 1U);
   {
-    SCOPED_TRACE("and peers of the old epoch no longer count");
+    SCOPED_TRACE("and peers of the old epoch are ignored");
     ConfigStore old;
     old.ApplyList(50, { Model(49, 9) });
     EXPECT_EQ(*mStore.ApplyPeer(old.Serialize(), "old"), MergeOutcome::kOlder);
@@ -206,7 +206,7 @@
   }
 }
 
-TEST_F(InForce, OneWhoListedAfterADeletionTakesItsVersionFromPeers)
+TEST_F(InForce, AProcessThatListedAfterADeletionAdoptsItsVersionFromPeers)
 {
   mStore.ApplyChanges(12, { { "config/models/m", 12, "" } });
   ConfigStore late;
@@ -224,7 +224,7 @@
   }
 }
 
-TEST_F(InForce, HalfASnapshotOfAPeerIsRefusedWhole)
+TEST_F(InForce, ATruncatedPeerSnapshotIsRejected)
 {
   const std::string text = mStore.Serialize();
   ConfigStore other;
@@ -233,22 +233,22 @@
   EXPECT_EQ(other.Version(), ConfigVersion{});
 }
 
-/// A platform with stale reads, processes with watches and restarts, and peers
-/// that pass on what they have.
-class ConfigWorld
+/// Simulates a platform with stale reads, processes with watches and restarts,
+/// and peers that pass on what they have.
+class ConfigSimulation
 {
 public:
-  /// @param aKeepsOrder  false to see what happens when any list is taken
-  explicit ConfigWorld(bool aKeepsOrder)
-    : mKeepsOrder(aKeepsOrder)
+  /// @param aEnforcesOrder  false to show what happens when any list is applied
+  explicit ConfigSimulation(bool aEnforcesOrder)
+    : mEnforcesOrder(aEnforcesOrder)
   {
-    mPast.emplace_back();
+    mRevisions.emplace_back();
   }
 
   void Step(std::uint8_t aChoice)
   {
     ConfigStore& store = mStores[aChoice / 8 % kProcesses];
-    const std::size_t now = mPast.size() - 1;
+    const std::size_t now = mRevisions.size() - 1;
     switch (aChoice % 8) {
       case 0:
       case 1:
@@ -261,45 +261,45 @@
       case 4:
         Watch(store);
         break;
-      case 5: // A peer passes its configuration on.
+      case 5: // A peer passes on its configuration.
         (void)store.ApplyPeer(
           PeerText(mStores[aChoice / 32 % kProcesses], store.Version()),
           "peer");
         break;
-      case 6: // The process restarts with nothing: a new life.
+      case 6: // The process restarts without any state.
         store = ConfigStore();
-        ++mLives[aChoice / 8 % kProcesses];
+        ++mIncarnations[aChoice / 8 % kProcesses];
         break;
       default:
         List(store, now);
         break;
     }
     for (std::size_t i = 0; i < kProcesses; ++i) {
-      mHistory.mInForce.push_back(
-        { std::to_string(i) + "/" + std::to_string(mLives[i]),
+      mHistory.mActiveConfigs.push_back(
+        { std::to_string(i) + "/" + std::to_string(mIncarnations[i]),
           mStores[i].Version().Packed() });
     }
   }
 
   /// Whether each process has what the platform held at its cursor.
-  bool IsWholeAtCursors() const
+  bool MatchesPlatformAtCursors() const
   {
     return std::all_of(
       mStores.begin(), mStores.end(), [&](const ConfigStore& aStore) {
-        return HasContent(aStore, mPast[aStore.Cursor().mRevision]);
+        return HasContent(aStore, mRevisions[aStore.Cursor().mRevision]);
       });
   }
 
-  /// Whether a good list brings the newest into force everywhere.
-  bool ComesIntoForce()
+  /// Whether a current list activates the latest objects everywhere.
+  bool Converges()
   {
     return std::all_of(mStores.begin(), mStores.end(), [&](auto& aStore) {
-      List(aStore, mPast.size() - 1);
-      return HasContent(aStore, mPast.back());
+      List(aStore, mRevisions.size() - 1);
+      return HasContent(aStore, mRevisions.back());
     });
   }
 
-  const History& Past() const { return mHistory; }
+  const History& Recorded() const { return mHistory; }
 
 private:
   using Objects = std::vector<RawObject>;
@@ -320,7 +320,7 @@
              });
   }
 
-  /// The changes since a version where they reach back, or all.
+  /// The changes since a version if they reach back that far, else everything.
   static std::string PeerText(const ConfigStore& aPeer, ConfigVersion aHave)
   {
     auto text = aPeer.Recent().SerializeSince(aHave.mEpoch, aHave.mRevision);
@@ -330,43 +330,43 @@
   /// An operator changes or deletes one of three objects.
   void Change(std::uint8_t aChoice)
   {
-    const std::uint64_t revision = mPast.size();
+    const std::uint64_t revision = mRevisions.size();
     const std::string key =
       std::string(kPrefix) + "m" + std::to_string(aChoice / 32 % 3);
-    Objects objects = mPast.back();
+    Objects objects = mRevisions.back();
     std::erase_if(objects,
                   [&](const auto& aObject) { return aObject.mKey == key; });
     if (aChoice / 128 == 0) {
       objects.push_back(
         { key, revision, R"({"weights":)" + std::to_string(revision) + "}" });
     }
-    mPast.push_back(objects);
+    mRevisions.push_back(objects);
   }
 
   void List(ConfigStore& aStore, std::size_t aRevision)
   {
-    if (!mKeepsOrder) {
+    if (!mEnforcesOrder) {
       aStore = ConfigStore();
     }
-    aStore.ApplyList(aRevision, mPast[aRevision]);
+    aStore.ApplyList(aRevision, mRevisions[aRevision]);
   }
 
-  /// What has changed since the process's cursor.
+  /// Applies what has changed since the process's cursor.
   void Watch(ConfigStore& aStore)
   {
     const std::uint64_t after = aStore.Cursor().mRevision;
-    const std::uint64_t now = mPast.size() - 1;
+    const std::uint64_t now = mRevisions.size() - 1;
     Objects changes;
-    for (const auto& object : mPast.back()) {
+    for (const auto& object : mRevisions.back()) {
       if (object.mRevision > after) {
         changes.push_back(object);
       }
     }
-    for (const auto& object : mPast[after]) {
+    for (const auto& object : mRevisions[after]) {
       const bool isGone = std::none_of(
-        mPast.back().begin(), mPast.back().end(), [&](const auto& aOther) {
-          return aOther.mKey == object.mKey;
-        });
+        mRevisions.back().begin(),
+        mRevisions.back().end(),
+        [&](const auto& aOther) { return aOther.mKey == object.mKey; });
       if (isGone) {
         changes.push_back({ object.mKey, now, "" });
       }
@@ -374,24 +374,24 @@
     aStore.ApplyChanges(now, changes);
   }
 
-  bool mKeepsOrder;
-  std::vector<Objects> mPast; ///< the platform at each revision
+  bool mEnforcesOrder;
+  std::vector<Objects> mRevisions; ///< the platform at each revision
   std::array<ConfigStore, kProcesses> mStores;
-  std::array<int, kProcesses> mLives{};
+  std::array<int, kProcesses> mIncarnations{};
   History mHistory;
 };
 
 RC_GTEST_PROP(GeneratedChanges,
-              AreInForceAtLastAndNeverRevert,
+              BecomeActiveAndNeverRevert,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  ConfigWorld world(true);
+  ConfigSimulation simulation(true);
   for (const std::uint8_t choice : aSchedule) {
-    world.Step(choice);
-    RC_ASSERT(world.IsWholeAtCursors());
+    simulation.Step(choice);
+    RC_ASSERT(simulation.MatchesPlatformAtCursors());
   }
-  RC_ASSERT(CheckConfigNeverReverts(world.Past()).empty());
-  RC_ASSERT(world.ComesIntoForce());
+  RC_ASSERT(CheckConfigNeverReverts(simulation.Recorded()).empty());
+  RC_ASSERT(simulation.Converges());
 }
 
 TEST(WithoutTheCursor, StaleListsRevertTheConfiguration)
@@ -399,11 +399,11 @@
   int reverted = 0;
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
-    ConfigWorld world(false);
+    ConfigSimulation simulation(false);
     for (int step = 0; step < 60; ++step) {
-      world.Step(static_cast<std::uint8_t>(random()));
+      simulation.Step(static_cast<std::uint8_t>(random()));
     }
-    reverted += CheckConfigNeverReverts(world.Past()).empty() ? 0 : 1;
+    reverted += CheckConfigNeverReverts(simulation.Recorded()).empty() ? 0 : 1;
   }
   EXPECT_GT(reverted, 0);
 }
--- a/packages/state/tests/engine_simulation.h
+++ b/packages/state/tests/engine_simulation.h
@@ -8,50 +8,51 @@
 #include "shuntjunction/state/late_requests.h"
 #include "shuntjunction/state/waiting_tokens.h"
 
-/// An engine in virtual time, and callers who ask it by the real decisions.
+/// Simulates an engine in virtual time, with callers that use the production
+/// code's decisions.
 namespace shuntjunction::state {
 
-/// A request as the model plays it.
+/// A request and what became of it.
 struct SimulatedRequest
 {
   Millis mArrival{ 0 };
   std::int64_t mTokens = 0;
   Millis mObjective{ 0 };
   int mUrgency = 1;               ///< of its route
-  int mSentUrgency = 0;           ///< as the decision made it
-  std::int64_t mAhead = 0;        ///< tokens that waited before it when sent
-  std::optional<Millis> mFirst{}; ///< when its first token came
-  bool mIsRefused = false;        ///< at once, when it came
+  int mSentUrgency = 0;           ///< after the policy's decision
+  std::int64_t mTokensAhead = 0;  ///< tokens queued before it when it was sent
+  std::optional<Millis> mFirst{}; ///< when its first token was produced
+  bool mIsRefused = false;        ///< on arrival
 
   bool IsInTime() const { return mFirst && *mFirst - mArrival <= mObjective; }
 
-  /// Whether its caller waited as long as it could, and got nothing.
+  /// Whether its caller gave up without a response.
   bool IsAbandoned() const { return !mFirst && !mIsRefused; }
 
   bool IsBehind() const { return mSentUrgency > mUrgency; }
   TimePoint SentAt() const { return TimePoint(mArrival); }
 };
 
-/// How requests are handed to the engine.
+/// How requests are queued at the engine.
 enum class QueueingPolicy : std::uint8_t
 {
   kByRouteUrgency,       ///< by the route's urgency alone
   kByObjective,          ///< by EffectiveUrgency
-  kByObjectiveRejecting, ///< the same, and LateRequests says which are refused
+  kByObjectiveRejecting, ///< the same, and LateRequests says which are rejected
 };
 
-/// Plays requests, sorted by arrival, against an engine that reads one prompt
+/// Plays requests, sorted by arrival, on an engine that processes one prompt
 /// after the other: the most urgent first, of equals the one that came first.
-/// Callers give up after their patience.
+/// Callers give up after their timeout.
 class EngineSimulation
 {
 public:
   EngineSimulation(double aTokensPerMilli,
-                   QueueingPolicy aOrder,
-                   Millis aPatience)
-    : mReads(aTokensPerMilli)
-    , mOrder(aOrder)
-    , mPatience(aPatience)
+                   QueueingPolicy aPolicy,
+                   Millis aCallerTimeout)
+    : mTokensPerMilli(aTokensPerMilli)
+    , mPolicy(aPolicy)
+    , mCallerTimeout(aCallerTimeout)
   {
   }
 
@@ -72,25 +73,26 @@
       }
       GiveUp(waiting, now);
       if (!waiting.empty()) {
-        now += ReadOne(waiting, now);
+        now += ProcessOne(waiting, now);
       }
     }
   }
 
 private:
-  /// Whether it waits from now on.
+  /// Returns whether the request was queued.
   bool Send(SimulatedRequest& aRequest)
   {
-    aRequest.mAhead = mWaiting.AheadOf(aRequest.mUrgency);
-    const auto expected = mRate.TimeOf(aRequest.mAhead + aRequest.mTokens);
+    aRequest.mTokensAhead = mWaiting.AheadOf(aRequest.mUrgency);
+    const auto expected =
+      mRate.TimeOf(aRequest.mTokensAhead + aRequest.mTokens);
     aRequest.mSentUrgency =
-      mOrder == QueueingPolicy::kByRouteUrgency
+      mPolicy == QueueingPolicy::kByRouteUrgency
         ? aRequest.mUrgency
         : EffectiveUrgency(
             { Millis(0), expected, aRequest.mObjective, aRequest.mUrgency },
             mSettings);
     aRequest.mIsRefused =
-      mOrder == QueueingPolicy::kByObjectiveRejecting && aRequest.IsBehind() &&
+      mPolicy == QueueingPolicy::kByObjectiveRejecting && aRequest.IsBehind() &&
       mLate.IsStalled(aRequest.SentAt(), aRequest.mObjective);
     if (aRequest.mIsRefused) {
       return false;
@@ -102,8 +104,8 @@
     return true;
   }
 
-  /// It waits no more.
-  void Leave(const SimulatedRequest& aRequest)
+  /// Removes a request that no longer waits.
+  void RemoveFromQueue(const SimulatedRequest& aRequest)
   {
     mWaiting.Remove(aRequest.mSentUrgency, aRequest.mTokens);
     if (aRequest.IsBehind()) {
@@ -114,36 +116,38 @@
   void GiveUp(std::vector<SimulatedRequest*>& aWaiting, Millis aNow)
   {
     std::erase_if(aWaiting, [&](const SimulatedRequest* aRequest) {
-      const bool isGone = aNow - aRequest->mArrival > mPatience;
+      const bool isGone = aNow - aRequest->mArrival > mCallerTimeout;
       if (isGone) {
-        Leave(*aRequest);
+        RemoveFromQueue(*aRequest);
       }
       return isGone;
     });
   }
 
-  Millis ReadOne(std::vector<SimulatedRequest*>& aWaiting, Millis aNow)
+  Millis ProcessOne(std::vector<SimulatedRequest*>& aWaiting, Millis aNow)
   {
-    const auto best = std::min_element(
-      aWaiting.begin(), aWaiting.end(), [](const auto* aOne, const auto* aTwo) {
-        return aOne->mSentUrgency < aTwo->mSentUrgency;
-      });
+    const auto best =
+      std::min_element(aWaiting.begin(),
+                       aWaiting.end(),
+                       [](const auto* aLeft, const auto* aRight) {
+                         return aLeft->mSentUrgency < aRight->mSentUrgency;
+                       });
     auto& request = **best;
     aWaiting.erase(best);
-    const Millis took(
-      static_cast<std::int64_t>(static_cast<double>(request.mTokens) / mReads));
-    request.mFirst = aNow + took;
-    Leave(request);
+    const Millis duration(static_cast<std::int64_t>(
+      static_cast<double>(request.mTokens) / mTokensPerMilli));
+    request.mFirst = aNow + duration;
+    RemoveFromQueue(request);
     if (request.mSentUrgency == request.mUrgency) {
-      mRate.Note(request.mAhead + request.mTokens,
+      mRate.Note(request.mTokensAhead + request.mTokens,
                  *request.mFirst - request.mArrival);
     }
-    return took;
+    return duration;
   }
 
-  double mReads;
-  QueueingPolicy mOrder;
-  Millis mPatience;
+  double mTokensPerMilli;
+  QueueingPolicy mPolicy;
+  Millis mCallerTimeout;
   FirstTokenSettings mSettings;
   PrefillRate mRate{ mSettings };
   WaitingTokens mWaiting;
--- a/packages/state/tests/history.cpp
+++ b/packages/state/tests/history.cpp
@@ -11,24 +11,24 @@
   std::map<std::string, int> runs;
   for (const auto& executed : aHistory.mExecuted) {
     if (++runs[executed.mKey] == 2) {
-      violations.push_back("key " + executed.mKey + " ran twice");
+      violations.push_back("key " + executed.mKey + " was executed twice");
     }
   }
   return violations;
 }
 
 Violations
-CheckNotRunIsTrue(const History& aHistory)
+CheckNotRunReports(const History& aHistory)
 {
   Violations violations;
-  for (const auto& told : aHistory.mTold) {
-    if (told.mIsAnswer || told.mRunState != RunState::kNotRun) {
+  for (const auto& outcome : aHistory.mReportedOutcomes) {
+    if (outcome.mIsAnswer || outcome.mRunState != RunState::kNotRun) {
       continue;
     }
     for (const auto& executed : aHistory.mExecuted) {
-      if (executed.mRequest == told.mRequest) {
-        violations.push_back("request " + std::to_string(told.mRequest) +
-                             " ran and was told that it did not");
+      if (executed.mRequest == outcome.mRequest) {
+        violations.push_back("request " + std::to_string(outcome.mRequest) +
+                             " ran but was reported as not run");
       }
     }
   }
@@ -39,23 +39,23 @@
 CheckStreams(const History& aHistory)
 {
   Violations violations;
-  std::map<int, std::size_t> got;
+  std::map<int, std::size_t> received;
   for (const auto& token : aHistory.mTokens) {
-    const auto right = aHistory.mExpectedTokens.find(token.mRequest);
-    const std::size_t at = got[token.mRequest]++;
-    if (right == aHistory.mExpectedTokens.end() || at >= right->second.size() ||
-        right->second[at] != token.mText) {
+    const auto expected = aHistory.mExpectedTokens.find(token.mRequest);
+    const std::size_t at = received[token.mRequest]++;
+    if (expected == aHistory.mExpectedTokens.end() ||
+        at >= expected->second.size() || expected->second[at] != token.mText) {
       violations.push_back("request " + std::to_string(token.mRequest) +
-                           " got a wrong token at " + std::to_string(at));
+                           " received a wrong token at " + std::to_string(at));
     }
   }
   for (const auto& stream : aHistory.mStreams) {
-    const auto right = aHistory.mExpectedTokens.find(stream.mRequest);
+    const auto expected = aHistory.mExpectedTokens.find(stream.mRequest);
     const std::size_t all =
-      right == aHistory.mExpectedTokens.end() ? 0 : right->second.size();
-    if (stream.mLooksComplete && got[stream.mRequest] != all) {
+      expected == aHistory.mExpectedTokens.end() ? 0 : expected->second.size();
+    if (stream.mLooksComplete && received[stream.mRequest] != all) {
       violations.push_back("request " + std::to_string(stream.mRequest) +
-                           " got a cut stream that looks whole");
+                           " received a truncated stream that looks complete");
     }
   }
   return violations;
@@ -66,26 +66,26 @@
 {
   Violations violations;
   std::map<std::string, std::uint64_t> newest;
-  for (const auto& inForce : aHistory.mInForce) {
-    std::uint64_t& version = newest[inForce.mProcess];
-    if (inForce.mVersion < version) {
-      violations.push_back("the configuration of " + inForce.mProcess +
-                           " went back");
+  for (const auto& config : aHistory.mActiveConfigs) {
+    std::uint64_t& version = newest[config.mProcess];
+    if (config.mVersion < version) {
+      violations.push_back("the configuration of " + config.mProcess +
+                           " reverted");
     }
-    version = inForce.mVersion;
+    version = config.mVersion;
   }
   return violations;
 }
 
 Violations
-CheckFencesRise(const History& aHistory)
+CheckFencesNeverDecrease(const History& aHistory)
 {
   Violations violations;
   std::uint64_t highest = 0;
-  for (const auto& order : aHistory.mObeyed) {
+  for (const auto& order : aHistory.mExecutedOrders) {
     if (order.mFence < highest) {
-      violations.push_back("fencing number " + std::to_string(order.mFence) +
-                           " was obeyed after " + std::to_string(highest));
+      violations.push_back("fencing token " + std::to_string(order.mFence) +
+                           " was accepted after " + std::to_string(highest));
     }
     highest = std::max(highest, order.mFence);
   }
@@ -93,20 +93,20 @@
 }
 
 Violations
-CheckOneHolderOrders(const History& aHistory)
+CheckFenceHolders(const History& aHistory)
 {
   Violations violations;
   std::map<std::uint64_t, std::string> holders;
-  for (const auto& order : aHistory.mObeyed) {
+  for (const auto& order : aHistory.mExecutedOrders) {
     const auto [holder, isNew] =
       holders.try_emplace(order.mFence, order.mHolder);
     if (!isNew && holder->second != order.mHolder) {
       violations.push_back("two holders of " + std::to_string(order.mFence));
     }
-    if (order.mTakenAtLook > order.mFence) {
+    if (order.mLastSeenFence > order.mFence) {
       violations.push_back(order.mHolder + " ordered with " +
                            std::to_string(order.mFence) + " though it saw " +
-                           std::to_string(order.mTakenAtLook));
+                           std::to_string(order.mLastSeenFence));
     }
   }
   return violations;
--- a/packages/state/tests/history.h
+++ b/packages/state/tests/history.h
@@ -7,78 +7,78 @@
 
 #include "shuntjunction/state/request_types.h"
 
-/// Records what happened in a run, and checks it against the promises.
+/// Records the events of a run and checks them against the guarantees.
 namespace shuntjunction::state::history {
 
-/// A run of something that must run at most once.
-struct Executed
+/// An execution of something that must run at most once.
+struct Execution
 {
   std::string mKey;
   int mRequest = 0;
 };
 
 /// What a caller was told at the end of its request.
-struct Told
+struct ReportedOutcome
 {
   int mRequest = 0;
-  bool mIsAnswer = false; ///< a whole answer
+  bool mIsAnswer = false; ///< a complete response
   RunState mRunState = RunState::kUnknown;
 };
 
-/// A token that a caller got.
-struct TokenGot
+/// A token that a caller received.
+struct ReceivedToken
 {
   int mRequest = 0;
   std::string mText;
 };
 
 /// The end of a stream as its caller saw it.
-struct StreamEnded
+struct StreamEnd
 {
   int mRequest = 0;
   bool mLooksComplete = false;
 };
 
-/// A configuration that came into force in a process.
-struct InForce
+/// A configuration that became active in a process.
+struct ActiveConfig
 {
   std::string mProcess;
   std::uint64_t mVersion = 0; ///< ConfigVersion::Packed
 };
 
-/// An order that an engine obeyed.
-struct Obeyed
+/// An order that an engine executed.
+struct ExecutedOrder
 {
   std::string mHolder;
   std::uint64_t mFence = 0;
-  std::uint64_t mTakenAtLook = 0; ///< highest number at its holder's last look
+  std::uint64_t mLastSeenFence = 0; ///< highest token at the holder's last read
 };
 
-/// Everything of one run, in the order in which it happened.
+/// All events of one run, in the order in which they happened.
 struct History
 {
-  std::vector<Executed> mExecuted;
-  std::vector<Told> mTold;
-  std::vector<TokenGot> mTokens;
-  std::vector<StreamEnded> mStreams;
-  std::vector<InForce> mInForce;
-  std::vector<Obeyed> mObeyed;
+  std::vector<Execution> mExecuted;
+  std::vector<ReportedOutcome> mReportedOutcomes;
+  std::vector<ReceivedToken> mTokens;
+  std::vector<StreamEnd> mStreams;
+  std::vector<ActiveConfig> mActiveConfigs;
+  std::vector<ExecutedOrder> mExecutedOrders;
   std::map<int, std::vector<std::string>> mExpectedTokens; ///< by request
 };
 
-/// Promises that were broken, one sentence each; empty when none.
+/// Guarantees that were violated, one sentence each; empty when none.
 using Violations = std::vector<std::string>;
 
-/// A request marked as not repeatable runs at most once.
+/// A request marked as non-repeatable runs at most once.
 Violations
 CheckAtMostOnce(const History& aHistory);
 
-/// A refusal that says "not run" is true.
+/// A request that was refused as "not run" did not run.
 Violations
-CheckNotRunIsTrue(const History& aHistory);
+CheckNotRunReports(const History& aHistory);
 
-/// Every stream is in order and whole, or does not look whole; every token
-/// belongs to the request that got it.
+/// Every stream is in order and complete, or does not look complete; every
+/// token belongs to the request that received it.
 Violations
 CheckStreams(const History& aHistory);
 
@@ -86,13 +86,14 @@
 Violations
 CheckConfigNeverReverts(const History& aHistory);
 
-/// An engine that checks fencing numbers never obeys an older one.
+/// An engine that checks fencing tokens never executes an order with an older
+/// one.
 Violations
-CheckFencesRise(const History& aHistory);
+CheckFencesNeverDecrease(const History& aHistory);
 
-/// A fencing number is one holder's, and no order is given by who could see
-/// that a later holder has taken the next one.
+/// A fencing token belongs to one holder, and no holder sends an order if it
+/// could see that a later holder has acquired the next one.
 Violations
-CheckOneHolderOrders(const History& aHistory);
+CheckFenceHolders(const History& aHistory);
 
 } // namespace shuntjunction::state::history
--- a/packages/state/tests/history_test.cpp
+++ b/packages/state/tests/history_test.cpp
@@ -1,4 +1,4 @@
-// The story of the checkers: each rejects a history that breaks its promise,
+// Tests of the checkers: each rejects a history that violates its guarantee,
 // and accepts one that keeps it.
 
 #include "history.h"
@@ -26,12 +26,12 @@
 
 TEST_F(GivenAHistory, NotRunIsRejectedWhereItRan)
 {
-  mHistory.mTold = { { 1, false, RunState::kNotRun } };
-  EXPECT_TRUE(CheckNotRunIsTrue(mHistory).empty());
+  mHistory.mReportedOutcomes = { { 1, false, RunState::kNotRun } };
+  EXPECT_TRUE(CheckNotRunReports(mHistory).empty());
   mHistory.mExecuted = { { "k", 1 } };
-  EXPECT_EQ(CheckNotRunIsTrue(mHistory).size(), 1U);
-  mHistory.mTold = { { 1, false, RunState::kUnknown } };
-  EXPECT_TRUE(CheckNotRunIsTrue(mHistory).empty());
+  EXPECT_EQ(CheckNotRunReports(mHistory).size(), 1U);
+  mHistory.mReportedOutcomes = { { 1, false, RunState::kUnknown } };
+  EXPECT_TRUE(CheckNotRunReports(mHistory).empty());
 }
 
 TEST_F(GivenAHistory, WholeStreamsAreAccepted)
@@ -50,7 +50,7 @@
   EXPECT_EQ(CheckStreams(mHistory).size(), 1U);
 }
 
-TEST_F(GivenAHistory, DoubledCrossedAndSwappedTokensAreRejected)
+TEST_F(GivenAHistory, DuplicatedMixedUpAndReorderedTokensAreRejected)
 {
   mHistory.mTokens = { { 1, "a" }, { 1, "a" } };
   EXPECT_FALSE(CheckStreams(mHistory).empty());
@@ -64,27 +64,27 @@
 
 TEST_F(GivenAHistory, AConfigurationThatGoesBackIsRejected)
 {
-  mHistory.mInForce = { { "r1", 4 }, { "r2", 3 }, { "r1", 5 } };
+  mHistory.mActiveConfigs = { { "r1", 4 }, { "r2", 3 }, { "r1", 5 } };
   EXPECT_TRUE(CheckConfigNeverReverts(mHistory).empty());
-  mHistory.mInForce.push_back({ "r2", 2 });
+  mHistory.mActiveConfigs.push_back({ "r2", 2 });
   EXPECT_EQ(CheckConfigNeverReverts(mHistory).size(), 1U);
 }
 
-TEST_F(GivenAHistory, AnOldFencingNumberIsRejected)
+TEST_F(GivenAHistory, AnOldFencingTokenIsRejected)
 {
-  mHistory.mObeyed = { { "a", 1, 1 }, { "b", 2, 2 }, { "b", 2, 2 } };
-  EXPECT_TRUE(CheckFencesRise(mHistory).empty());
-  EXPECT_TRUE(CheckOneHolderOrders(mHistory).empty());
-  mHistory.mObeyed.push_back({ "a", 1, 1 });
-  EXPECT_EQ(CheckFencesRise(mHistory).size(), 1U);
+  mHistory.mExecutedOrders = { { "a", 1, 1 }, { "b", 2, 2 }, { "b", 2, 2 } };
+  EXPECT_TRUE(CheckFencesNeverDecrease(mHistory).empty());
+  EXPECT_TRUE(CheckFenceHolders(mHistory).empty());
+  mHistory.mExecutedOrders.push_back({ "a", 1, 1 });
+  EXPECT_EQ(CheckFencesNeverDecrease(mHistory).size(), 1U);
 }
 
-TEST_F(GivenAHistory, TwoHoldersOfANumberAndOneWhoSawALaterAreRejected)
+TEST_F(GivenAHistory, TwoHoldersOfATokenAndOneWhoSawALaterAreRejected)
 {
-  mHistory.mObeyed = { { "a", 1, 1 }, { "b", 1, 1 } };
-  EXPECT_EQ(CheckOneHolderOrders(mHistory).size(), 1U);
-  mHistory.mObeyed = { { "a", 1, 2 } };
-  EXPECT_EQ(CheckOneHolderOrders(mHistory).size(), 1U);
+  mHistory.mExecutedOrders = { { "a", 1, 1 }, { "b", 1, 1 } };
+  EXPECT_EQ(CheckFenceHolders(mHistory).size(), 1U);
+  mHistory.mExecutedOrders = { { "a", 1, 2 } };
+  EXPECT_EQ(CheckFenceHolders(mHistory).size(), 1U);
 }
 
 } // namespace
--- a/packages/state/tests/object_mirror_test.cpp
+++ b/packages/state/tests/object_mirror_test.cpp
@@ -1,5 +1,5 @@
-// The story of processes that tell each other what the platform holds: all of
-// it once, then what changed, with the age of each word.
+// Tests of processes that send each other what the platform holds: all of it
+// once, then only changes, each with its age.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -34,12 +34,12 @@
   {
     mMirror.MergeList(
       "e/", 10, { { "e/a", 3, "1" }, { "e/b", 9, "2" } }, Now());
-    Know(10);
+    SetKnownRevision(10);
   }
 
   TimePoint Now() const { return mClock.Now(); }
 
-  void Know(std::uint64_t aRevision)
+  void SetKnownRevision(std::uint64_t aRevision)
   {
     mMirror.UpdateTopic("e/", aRevision, Now());
   }
@@ -47,17 +47,18 @@
   void Change(const RawObject& aObject)
   {
     mMirror.MergeChange(aObject, Now());
-    Know(aObject.mRevision);
+    SetKnownRevision(aObject.mRevision);
   }
 
   /// What another mirror lacks, as it arrives there.
-  MirrorUpdate Ask(std::uint64_t aEpoch, std::uint64_t aSequence) const
+  MirrorUpdate RequestUpdate(std::uint64_t aEpoch,
+                             std::uint64_t aSequence) const
   {
     const auto text =
       WriteMirrorUpdate(mMirror.UpdateSince(aEpoch, aSequence, Now()));
-    const auto page = ReadMirrorUpdate(text, "peer");
-    EXPECT_TRUE(page.has_value());
-    return page.value_or(MirrorUpdate{});
+    const auto update = ReadMirrorUpdate(text, "peer");
+    EXPECT_TRUE(update.has_value());
+    return update.value_or(MirrorUpdate{});
   }
 
   ManualClock mClock;
@@ -86,7 +87,7 @@
   EXPECT_EQ(mMirror.List("e/", Now())[1].mValue, "2");
 }
 
-TEST_F(GivenAMirror, AListTellsWhatWent)
+TEST_F(GivenAMirror, AListRevealsDeletions)
 {
   mMirror.MergeList("e/", 20, { { "e/b", 9, "2" } }, Now());
   EXPECT_EQ(KeysOf(*mMirror.ChangesAfter("e/", 10, Now())),
@@ -105,35 +106,35 @@
 class ThatAnotherAsks : public GivenAMirror
 {
 protected:
-  ThatAnotherAsks() { Take(Ask(0, 0)); }
+  ThatAnotherAsks() { ApplyUpdate(RequestUpdate(0, 0)); }
 
-  void Take(const MirrorUpdate& aPage)
+  void ApplyUpdate(const MirrorUpdate& aUpdate)
   {
-    mOther.Apply(aPage, Now(), Now());
-    mSequence = aPage.mSequence;
+    mOther.Apply(aUpdate, Now(), Now());
+    mSequence = aUpdate.mSequence;
   }
 
   ObjectMirror mOther{ 8 };
   std::uint64_t mSequence = 0;
 };
 
-TEST_F(ThatAnotherAsks, ItIsToldAllOnceAndThenWhatChanged)
+TEST_F(ThatAnotherAsks, ItReceivesAllOnceAndThenChanges)
 {
   EXPECT_EQ(KeysOf(mOther.List("e/", Now())), (Keys{ "e/a", "e/b" }));
   Change({ "e/a", 13, "" });
-  const auto page = Ask(7, mSequence);
-  EXPECT_FALSE(page.mIsWhole);
-  EXPECT_EQ(KeysOf(page.mChanges), (Keys{ "e/a gone" }));
-  Take(page);
+  const auto update = RequestUpdate(7, mSequence);
+  EXPECT_FALSE(update.mIsWhole);
+  EXPECT_EQ(KeysOf(update.mChanges), (Keys{ "e/a gone" }));
+  ApplyUpdate(update);
   EXPECT_EQ(KeysOf(mOther.List("e/", Now())), Keys{ "e/b" });
   EXPECT_EQ(mOther.Topic("e/")->mKnownRevision, 13U);
-  EXPECT_TRUE(Ask(7, mSequence).mChanges.empty());
+  EXPECT_TRUE(RequestUpdate(7, mSequence).mChanges.empty());
 }
 
-TEST_F(ThatAnotherAsks, OneThatAskedAnotherLifeIsToldAll)
+TEST_F(ThatAnotherAsks, AfterAnotherEpochItReceivesAll)
 {
-  EXPECT_TRUE(Ask(6, mSequence).mIsWhole);
-  EXPECT_TRUE(Ask(7, mSequence + 1).mIsWhole);
+  EXPECT_TRUE(RequestUpdate(6, mSequence).mIsWhole);
+  EXPECT_TRUE(RequestUpdate(7, mSequence + 1).mIsWhole);
 }
 
 TEST_F(ThatAnotherAsks, ItsWatchesFromBeforeHaveAGap)
@@ -142,19 +143,19 @@
   EXPECT_TRUE(mOther.ChangesAfter("e/", 10, Now()).has_value());
 }
 
-TEST_F(ThatAnotherAsks, EachWordKeepsItsAge)
+TEST_F(ThatAnotherAsks, EachStatusKeepsItsAge)
 {
   Change({ "e/c", 12, "3" });
   mMirror.NotePlatformFailure(Now());
   mClock.Advance(700ms);
-  Take(Ask(7, mSequence));
+  ApplyUpdate(RequestUpdate(7, mSequence));
   mClock.Advance(50ms);
   EXPECT_EQ(mOther.ChangesAfter("e/", 10, Now())->at(0).mAge, 750ms);
   EXPECT_EQ(Now() - mOther.Topic("e/")->mAsOf, 750ms);
   EXPECT_EQ(Now() - *mOther.LastPlatformFailure(), 750ms);
 }
 
-TEST(GivenAPage, WhatMakesNoSenseIsRefused)
+TEST(GivenAnUpdate, InvalidInputIsRejected)
 {
   EXPECT_FALSE(ReadMirrorUpdate("{}", "peer").has_value());
   EXPECT_FALSE(ReadMirrorUpdate("\xff", "peer").has_value());
@@ -186,7 +187,7 @@
     return SelectZoneWatchers(mEngines, "a", mSettings);
   }
 
-  EndpointInfo& Of(const std::string& aAddress)
+  EndpointInfo& EngineAt(const std::string& aAddress)
   {
     return *std::find_if(
       mEngines.begin(), mEngines.end(), [&](const auto& aOne) {
@@ -202,10 +203,10 @@
 {
   const auto watchers = Watchers();
   ASSERT_EQ(watchers.size(), 2U);
-  EXPECT_EQ(Of(watchers[0]).mZone, "a");
+  EXPECT_EQ(EngineAt(watchers[0]).mZone, "a");
   {
-    SCOPED_TRACE("one that leaves hands over to the next");
-    Of(watchers[0]).mIsLeaving = true;
+    SCOPED_TRACE("one that leaves is replaced by the next");
+    EngineAt(watchers[0]).mIsLeaving = true;
     EXPECT_EQ(Watchers()[0], watchers[1]);
   }
 }
@@ -216,9 +217,9 @@
   EXPECT_TRUE(Watchers().empty());
 }
 
-// A key is taken away at the store; an asker that hears of the configuration
-// from a watcher must not take it for longer than the bound, whoever stands
-// still at whatever moment.
+// A key is revoked in the store; a client that receives the configuration from
+// a watcher must not accept the key for longer than the bound, whichever
+// process is paused at any moment.
 class GeneratedDelays : public ::testing::Test
 {
 protected:
@@ -226,7 +227,7 @@
 };
 
 RC_GTEST_FIXTURE_PROP(GeneratedDelays,
-                      NoKeyIsTakenForLongerThanItsBound,
+                      NoKeyIsAcceptedForLongerThanItsBound,
                       (std::vector<std::uint16_t> aDelays))
 {
   const TimePoint begin{ 100s };
@@ -235,28 +236,29 @@
   };
   const auto removedAt = begin + delay(0, 4000);
   Freshness watcher;
-  Freshness asker;
+  Freshness client;
   auto now = begin;
   bool watcherHasKey = true;
   for (std::size_t i = 1; i + 5 < aDelays.size(); i += 5) {
-    // The watcher asks the store, whose answer comes late.
-    const auto storeAskedAt = now;
-    const auto storeAnswersAt = now + delay(i, 800);
-    watcherHasKey = watcherHasKey && storeAnswersAt < removedAt;
-    now = storeAnswersAt + delay(i + 1, 2500);
-    watcher.Confirm(storeAskedAt);
-    // The asker asked before or after that; the answer may lie on its way.
-    const auto askedAt = std::max(begin, now - delay(i + 2, 3000));
-    const auto toldAge = watcher.Age(now);
-    const bool isToldKey = watcherHasKey;
+    // The watcher queries the store, whose response is delayed.
+    const auto storeRequestedAt = now;
+    const auto storeRespondsAt = now + delay(i, 800);
+    watcherHasKey = watcherHasKey && storeRespondsAt < removedAt;
+    now = storeRespondsAt + delay(i + 1, 2500);
+    watcher.Confirm(storeRequestedAt);
+    // The client sent its request before or after that; the response may be in
+    // transit.
+    const auto requestedAt = std::max(begin, now - delay(i + 2, 3000));
+    const auto reportedAge = watcher.Age(now);
+    const bool hasReportedKey = watcherHasKey;
     now += delay(i + 3, 3000);
-    if (!isToldKey) {
+    if (!hasReportedKey) {
       return;
     }
-    asker.ConfirmFromPeer(askedAt, toldAge);
+    client.ConfirmFromPeer(requestedAt, reportedAge);
     now += delay(i + 4, 3000);
-    const bool isTaken = asker.Age(now) < Millis(kBound);
-    RC_ASSERT(!isTaken || now < removedAt + Millis(kBound));
+    const bool isAccepted = client.Age(now) < Millis(kBound);
+    RC_ASSERT(!isAccepted || now < removedAt + Millis(kBound));
   }
 }
 
--- a/packages/state/tests/order_test.cpp
+++ b/packages/state/tests/order_test.cpp
@@ -1,5 +1,5 @@
-// The story of an order to an engine: companions that each believe they may
-// order, on engines that check fencing numbers and on engines that ignore them.
+// Tests of orders to an engine: companions that each believe they may order,
+// with engines that check fencing tokens and engines that ignore them.
 
 #include <array>
 #include <gtest/gtest.h>
@@ -13,23 +13,24 @@
 namespace shuntjunction::state::history {
 namespace {
 
-/// What may be taken out, to see that the promise then breaks.
+/// Mechanisms that can be disabled, to show that the guarantee then fails.
 struct OrderMechanisms
 {
-  bool mIsConditional = true; ///< the number is taken by a conditional write
-  bool mLooksAgain = true;    ///< just before the order
-  bool mChecksFences = true;  ///< the engine refuses old numbers
+  bool mIsConditional = true; ///< the token is acquired by a conditional write
+  bool mRechecksFence = true; ///< just before the order
+  bool mEngineChecksFences = true; ///< the engine rejects old tokens
 };
 
-/// Two companions of one endpoint, its engine and the platform.
+/// Simulates two companions of one endpoint, its engine and the platform.
 ///
-/// Each byte of a schedule is one step: of a companion with an answer, a lost
-/// one or a late effect; a restart; a new configuration that one has heard of.
-/// One that is not stepped for long is one that was paused.
-class OrderWorld
+/// Each pair of bytes of a schedule is one step: of a companion with a
+/// response, a lost one or a delayed effect; a restart; a new configuration
+/// that one companion has received. A companion that gets no steps for long is
+/// one that was paused.
+class OrderSimulation
 {
 public:
-  explicit OrderWorld(const OrderMechanisms& aMechanisms)
+  explicit OrderSimulation(const OrderMechanisms& aMechanisms)
     : mMechanisms(aMechanisms)
   {
   }
@@ -37,7 +38,7 @@
   History Run(const std::vector<std::uint8_t>& aSchedule)
   {
     for (std::size_t i = 0; i + 1 < aSchedule.size(); i += 2) {
-      const std::uint8_t how = aSchedule[i + 1];
+      const std::uint8_t detail = aSchedule[i + 1];
       Companion& companion = mCompanions[aSchedule[i] / 16 % kCompanions];
       switch (aSchedule[i] % 16) {
         case 0:
@@ -45,49 +46,49 @@
           break;
         case 1:
         case 2:
-          companion.mWanted = mNewest;
+          companion.mDesiredWeights = mNewest;
           break;
         case 3:
-          companion.mMachine.reset(); // It dies and begins a new life.
+          companion.mMachine.reset(); // It crashes and restarts.
           break;
         case 4:
-          LandOneLate();
+          ApplyOneDelayed();
           break;
         default:
-          Step(companion, how);
+          Step(companion, detail);
           break;
       }
     }
-    Settle();
+    RunWithoutFaults();
     return mHistory;
   }
 
-  /// Whether the engine came in line once the faults were over.
-  bool IsInLine() const { return mWeights == mNewest; }
+  /// Whether the engine had the desired weights once the faults were over.
+  bool HasConverged() const { return mWeights == mNewest; }
 
 private:
   static constexpr std::size_t kCompanions = 2;
-  static constexpr int kSettleSteps = 200;
+  static constexpr int kFaultFreeSteps = 200;
 
-  /// What becomes of a call.
-  enum class Fate : std::uint8_t
+  /// Result of a call.
+  enum class CallResult : std::uint8_t
   {
-    kAnswers,
-    kAnswerIsLost,
-    kCallIsLost,
-    kTakesEffectLater,
+    kAnswered,
+    kResponseLost,
+    kCallLost,
+    kDelayed, ///< takes effect later
   };
 
   struct Companion
   {
-    std::uint32_t mWanted = 0; ///< weights version by its configuration
+    std::uint32_t mDesiredWeights = 0; ///< weights version of its configuration
     std::string mHolder;
-    std::uint64_t mTakenAtLook = 0;
+    std::uint64_t mLastSeenFence = 0;
     std::unique_ptr<OrderMachine> mMachine;
   };
   struct Order
   {
-    Obeyed mObeyed;
+    ExecutedOrder mLogEntry;
     std::uint32_t mWeights = 0;
   };
   struct Write
@@ -96,83 +97,85 @@
     std::uint64_t mIfRevision = 0;
   };
 
-  static tl::unexpected<Error> NoAnswer()
+  static tl::unexpected<Error> NoResponse()
   {
     return Fail(ErrorCode::kTimeout, "test", "platform", "no answer");
   }
 
   Result<std::uint64_t> Apply(const Write& aWrite)
   {
-    if (mMechanisms.mIsConditional && aWrite.mIfRevision != mHeld.mRevision) {
+    if (mMechanisms.mIsConditional &&
+        aWrite.mIfRevision != mStoredFence.mRevision) {
       return Fail(ErrorCode::kConflict, "test", "platform", "changed");
     }
-    mHeld = { aWrite.mRecord, ++mRevision };
+    mStoredFence = { aWrite.mRecord, ++mRevision };
     return mRevision;
   }
 
-  void Obey(const Order& aOrder)
+  void Execute(const Order& aOrder)
   {
-    if (mMechanisms.mChecksFences && aOrder.mObeyed.mFence < mEngineFence) {
+    if (mMechanisms.mEngineChecksFences &&
+        aOrder.mLogEntry.mFence < mEngineFence) {
       return;
     }
-    mEngineFence = std::max(mEngineFence, aOrder.mObeyed.mFence);
+    mEngineFence = std::max(mEngineFence, aOrder.mLogEntry.mFence);
     mWeights = aOrder.mWeights;
-    mHistory.mObeyed.push_back(aOrder.mObeyed);
+    mHistory.mExecutedOrders.push_back(aOrder.mLogEntry);
   }
 
-  void LandOneLate()
+  void ApplyOneDelayed()
   {
-    if (!mLateWrites.empty()) {
-      Apply(mLateWrites.back());
-      mLateWrites.pop_back();
-    } else if (!mLateOrders.empty()) {
-      Obey(mLateOrders.back());
-      mLateOrders.pop_back();
+    if (!mDelayedWrites.empty()) {
+      Apply(mDelayedWrites.back());
+      mDelayedWrites.pop_back();
+    } else if (!mDelayedOrders.empty()) {
+      Execute(mDelayedOrders.back());
+      mDelayedOrders.pop_back();
     }
   }
 
-  void StepRead(Companion& aCompanion, Fate aFate)
+  void StepRead(Companion& aCompanion, CallResult aResult)
   {
     OrderMachine& machine = *aCompanion.mMachine;
-    aCompanion.mTakenAtLook = mHeld.mRecord.mFence;
+    aCompanion.mLastSeenFence = mStoredFence.mRecord.mFence;
     if (machine.Step() == OrderStep::kRecheckFence &&
-        !mMechanisms.mLooksAgain) {
+        !mMechanisms.mRechecksFence) {
       machine.OnFenceRead(
         StoredFence{ { machine.Fence(), aCompanion.mHolder }, 1 });
-    } else if (aFate == Fate::kAnswers) {
-      machine.OnFenceRead(mHeld);
+    } else if (aResult == CallResult::kAnswered) {
+      machine.OnFenceRead(mStoredFence);
     } else {
-      machine.OnFenceRead(NoAnswer());
+      machine.OnFenceRead(NoResponse());
     }
   }
 
-  void StepWrite(Companion& aCompanion, Fate aFate)
+  void StepWrite(Companion& aCompanion, CallResult aResult)
   {
     OrderMachine& machine = *aCompanion.mMachine;
     const Write write{ machine.Next(), machine.Revision() };
-    if (aFate == Fate::kAnswers) {
+    if (aResult == CallResult::kAnswered) {
       machine.OnFenceWritten(Apply(write));
       return;
     }
-    if (aFate == Fate::kAnswerIsLost) {
+    if (aResult == CallResult::kResponseLost) {
       Apply(write);
-    } else if (aFate == Fate::kTakesEffectLater) {
-      mLateWrites.push_back(write);
+    } else if (aResult == CallResult::kDelayed) {
+      mDelayedWrites.push_back(write);
     }
-    machine.OnFenceWritten(NoAnswer());
+    machine.OnFenceWritten(NoResponse());
   }
 
-  void StepOrder(Companion& aCompanion, Fate aFate)
+  void StepOrder(Companion& aCompanion, CallResult aResult)
   {
     OrderMachine& machine = *aCompanion.mMachine;
     const Order order{
-      { aCompanion.mHolder, machine.Fence(), aCompanion.mTakenAtLook },
-      aCompanion.mWanted
+      { aCompanion.mHolder, machine.Fence(), aCompanion.mLastSeenFence },
+      aCompanion.mDesiredWeights
     };
-    if (aFate == Fate::kTakesEffectLater) {
-      mLateOrders.push_back(order);
-    } else if (aFate != Fate::kCallIsLost) {
-      Obey(order);
+    if (aResult == CallResult::kDelayed) {
+      mDelayedOrders.push_back(order);
+    } else if (aResult != CallResult::kCallLost) {
+      Execute(order);
     }
     machine.OnOrderSent();
   }
@@ -180,29 +183,29 @@
   void Step(Companion& aCompanion, std::uint8_t aChoice)
   {
     if (!aCompanion.mMachine) {
-      if (aCompanion.mWanted == mWeights) {
+      if (aCompanion.mDesiredWeights == mWeights) {
         return;
       }
       aCompanion.mHolder = std::to_string(++mOrders);
       aCompanion.mMachine =
         std::make_unique<OrderMachine>(aCompanion.mHolder, mEngineFence);
     }
-    // Most calls are answered, or nothing would ever be ordered.
-    const auto fate =
-      aChoice % 8 < 4 ? Fate::kAnswers : static_cast<Fate>(aChoice % 4);
+    // Most calls are answered, or no order would ever be sent.
+    const auto result = aChoice % 8 < 4 ? CallResult::kAnswered
+                                        : static_cast<CallResult>(aChoice % 4);
     switch (aCompanion.mMachine->Step()) {
       case OrderStep::kReadFence:
       case OrderStep::kRecheckFence:
-        StepRead(aCompanion, fate);
+        StepRead(aCompanion, result);
         return;
       case OrderStep::kAcquireFence:
-        StepWrite(aCompanion, fate);
+        StepWrite(aCompanion, result);
         return;
       case OrderStep::kDrain:
         aCompanion.mMachine->OnDrained();
         return;
       case OrderStep::kSendOrder:
-        StepOrder(aCompanion, fate);
+        StepOrder(aCompanion, result);
         return;
       case OrderStep::kCompleted:
       case OrderStep::kLost:
@@ -211,15 +214,16 @@
     }
   }
 
-  /// The faults end: what was late lands, and all hear the newest.
-  void Settle()
+  /// The faults end: delayed effects happen, and all get the latest
+  /// configuration.
+  void RunWithoutFaults()
   {
-    while (!mLateWrites.empty() || !mLateOrders.empty()) {
-      LandOneLate();
+    while (!mDelayedWrites.empty() || !mDelayedOrders.empty()) {
+      ApplyOneDelayed();
     }
-    for (int step = 0; step < kSettleSteps; ++step) {
+    for (int step = 0; step < kFaultFreeSteps; ++step) {
       for (Companion& companion : mCompanions) {
-        companion.mWanted = mNewest;
+        companion.mDesiredWeights = mNewest;
         Step(companion, 0);
       }
     }
@@ -228,10 +232,10 @@
   OrderMechanisms mMechanisms;
   History mHistory;
   std::array<Companion, kCompanions> mCompanions;
-  StoredFence mHeld;
+  StoredFence mStoredFence;
   std::uint64_t mRevision = 0;
-  std::vector<Write> mLateWrites;
-  std::vector<Order> mLateOrders;
+  std::vector<Write> mDelayedWrites;
+  std::vector<Order> mDelayedOrders;
   std::uint64_t mEngineFence = 0;
   std::uint32_t mWeights = 0;
   std::uint32_t mNewest = 1;
@@ -239,72 +243,73 @@
 };
 
 RC_GTEST_PROP(GeneratedOrders,
-              AnEngineThatChecksNeverObeysAnOlderHolder,
+              AnEngineThatChecksNeverExecutesAnOlderOrder,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  OrderWorld world(OrderMechanisms{});
-  const History history = world.Run(aSchedule);
-  RC_ASSERT(CheckFencesRise(history).empty());
-  RC_ASSERT(CheckOneHolderOrders(history).empty());
-  RC_ASSERT(world.IsInLine());
+  OrderSimulation simulation(OrderMechanisms{});
+  const History history = simulation.Run(aSchedule);
+  RC_ASSERT(CheckFencesNeverDecrease(history).empty());
+  RC_ASSERT(CheckFenceHolders(history).empty());
+  RC_ASSERT(simulation.HasConverged());
 }
 
 RC_GTEST_PROP(GeneratedOrders,
-              AnEngineThatIgnoresNumbersComesInLineAllTheSame,
+              AnEngineThatIgnoresTokensConvergesAllTheSame,
               (const std::vector<std::uint8_t>& aSchedule))
 {
-  OrderWorld world({ .mChecksFences = false });
-  const History history = world.Run(aSchedule);
-  RC_ASSERT(CheckOneHolderOrders(history).empty());
-  RC_ASSERT(world.IsInLine());
+  OrderSimulation simulation({ .mEngineChecksFences = false });
+  const History history = simulation.Run(aSchedule);
+  RC_ASSERT(CheckFenceHolders(history).empty());
+  RC_ASSERT(simulation.HasConverged());
 }
 
-/// Each mechanism taken out in turn: the checkers must find the harm.
+/// Disables each mechanism in turn: the checkers must find violations.
 class WithoutAnOrdersMechanism : public ::testing::Test
 {
 protected:
-  struct Found
+  struct ViolationCounts
   {
-    int mOlderObeyed = 0;
-    int mOthersNumber = 0;
+    int mOlderTokens = 0;
+    int mWrongHolders = 0;
   };
 
-  static Found Search(const OrderMechanisms& aMechanisms)
+  static ViolationCounts Search(const OrderMechanisms& aMechanisms)
   {
     constexpr int kSchedules = 3000;
-    Found found;
+    ViolationCounts counts;
     ForEachSchedule(kSchedules, [&](const auto& aSchedule) {
-      const History history = OrderWorld(aMechanisms).Run(aSchedule);
-      found.mOlderObeyed += CheckFencesRise(history).empty() ? 0 : 1;
-      found.mOthersNumber += CheckOneHolderOrders(history).empty() ? 0 : 1;
+      const History history = OrderSimulation(aMechanisms).Run(aSchedule);
+      counts.mOlderTokens += CheckFencesNeverDecrease(history).empty() ? 0 : 1;
+      counts.mWrongHolders += CheckFenceHolders(history).empty() ? 0 : 1;
     });
-    return found;
+    return counts;
   }
 };
 
-TEST_F(WithoutAnOrdersMechanism, NoneTakenOutNoneIsBroken)
+TEST_F(WithoutAnOrdersMechanism, WithAllOfThemNothingIsViolated)
 {
-  const Found found = Search({});
-  EXPECT_EQ(found.mOlderObeyed, 0);
-  EXPECT_EQ(found.mOthersNumber, 0);
+  const ViolationCounts counts = Search({});
+  EXPECT_EQ(counts.mOlderTokens, 0);
+  EXPECT_EQ(counts.mWrongHolders, 0);
 }
 
-TEST_F(WithoutAnOrdersMechanism, WithoutTheConditionTwoHoldANumber)
+TEST_F(WithoutAnOrdersMechanism, WithoutTheConditionTwoHoldOneToken)
 {
-  EXPECT_GT(Search({ .mIsConditional = false }).mOthersNumber, 0);
+  EXPECT_GT(Search({ .mIsConditional = false }).mWrongHolders, 0);
 }
 
-TEST_F(WithoutAnOrdersMechanism, WithoutTheLookAnOlderHolderOrders)
+TEST_F(WithoutAnOrdersMechanism, WithoutTheRecheckAnOlderHolderOrders)
 {
-  const Found found = Search({ .mLooksAgain = false, .mChecksFences = false });
-  EXPECT_GT(found.mOthersNumber, 0);
+  const ViolationCounts counts =
+    Search({ .mRechecksFence = false, .mEngineChecksFences = false });
+  EXPECT_GT(counts.mWrongHolders, 0);
 }
 
-TEST_F(WithoutAnOrdersMechanism, WhereNumbersAreIgnoredOneCallIsLeft)
+TEST_F(WithoutAnOrdersMechanism, WhereTokensAreIgnoredAWindowOfOneCallRemains)
 {
-  const Found found = Search({ .mChecksFences = false });
-  EXPECT_GT(found.mOlderObeyed, 0);
-  EXPECT_EQ(found.mOthersNumber, 0);
+  const ViolationCounts counts = Search({ .mEngineChecksFences = false });
+  EXPECT_GT(counts.mOlderTokens, 0);
+  EXPECT_EQ(counts.mWrongHolders, 0);
 }
 
 } // namespace
--- a/packages/state/tests/recent_changes_test.cpp
+++ b/packages/state/tests/recent_changes_test.cpp
@@ -1,5 +1,5 @@
-// The story of changes that travel alone: they bring a peer to the same
-// objects, or it asks for the whole.
+// Tests of changes that are sent alone: they bring a peer to the same objects,
+// or it requests the full configuration.
 
 #include <gtest/gtest.h>
 
@@ -26,7 +26,7 @@
     ASSERT_EQ(mOther.Version(), mWatcher.Version());
   }
 
-  std::string Text() const
+  std::string PendingChanges() const
   {
     const auto have = mOther.Version();
     return mWatcher.Recent().SerializeSince(have.mEpoch, have.mRevision);
@@ -36,24 +36,24 @@
   ConfigStore mOther;
 };
 
-TEST_F(GivenTwoProcesses, OnlyChangesTravel)
+TEST_F(GivenTwoProcesses, OnlyChangesAreSent)
 {
   mWatcher.ApplyChanges(12, { Model("c", 12) });
   mWatcher.ApplyChanges(15, { Model("d", 14), { "config/models/a", 15, "" } });
-  const std::string text = Text();
+  const std::string text = PendingChanges();
   EXPECT_EQ(text.find("models/b"), std::string::npos) << text;
   EXPECT_EQ(*mOther.ApplyPeer(text, "w"), MergeOutcome::kApplied);
   EXPECT_EQ(mOther.Version(), mWatcher.Version());
   EXPECT_EQ(mOther.Current()->mModels.size(), 3U);
   EXPECT_FALSE(mOther.Current()->mModels.contains("a"));
   {
-    SCOPED_TRACE("twice is once");
+    SCOPED_TRACE("applying them again changes nothing");
     EXPECT_EQ(*mOther.ApplyPeer(text, "w"), MergeOutcome::kUnchanged);
   }
   {
     SCOPED_TRACE("and it passes them on itself");
     mWatcher.ApplyChanges(20, { Model("e", 20) });
-    ASSERT_TRUE(mOther.ApplyPeer(Text(), "w").has_value());
+    ASSERT_TRUE(mOther.ApplyPeer(PendingChanges(), "w").has_value());
     ConfigStore third;
     third.ApplyList(15, { Model("b", 8), Model("c", 12), Model("d", 14) });
     const auto passed = mOther.Recent().SerializeSince(0, 15);
@@ -64,12 +64,13 @@
   }
 }
 
-TEST_F(GivenTwoProcesses, ChangesThatLeadElsewhereAreRefusedWhole)
+TEST_F(GivenTwoProcesses, ChangesWithAnotherResultAreRejected)
 {
-  // The other has seen a change that the watcher never did: two histories.
+  // The other process has seen a change that the watcher never saw: their
+  // histories differ.
   mOther.ApplyChanges(11, { Model("x", 11) });
   mWatcher.ApplyChanges(12, { Model("c", 12) });
-  const auto refused = mOther.ApplyPeer(Text(), "w");
+  const auto refused = mOther.ApplyPeer(PendingChanges(), "w");
   ASSERT_FALSE(refused.has_value());
   EXPECT_EQ(refused.error().mCode, ErrorCode::kConflict);
   EXPECT_EQ(refused.error().mPeer, "w");
@@ -77,7 +78,7 @@
   EXPECT_EQ(mOther.Version().mRevision, 11U);
 }
 
-TEST_F(GivenTwoProcesses, ChangesThatDoNotFollowOnAreRefused)
+TEST_F(GivenTwoProcesses, ChangesWithAGapAreRejected)
 {
   mWatcher.ApplyChanges(12, { Model("c", 12) });
   const std::string text = mWatcher.Recent().SerializeSince(0, 12);
@@ -87,7 +88,7 @@
   EXPECT_FALSE(mOther.Current()->mModels.contains("c"));
 }
 
-TEST_F(GivenTwoProcesses, ADeletionBeforeTheListIsTakenOverByContent)
+TEST_F(GivenTwoProcesses, TheVersionOfAnEarlierDeletionIsAdoptedByContent)
 {
   mWatcher.ApplyChanges(12, { { "config/models/a", 12, "" } });
   ConfigStore late;
@@ -99,9 +100,9 @@
   EXPECT_EQ(late.Cursor().mRevision, 30U);
 }
 
-TEST_F(GivenTwoProcesses, WhoAsksForTheWholeIsNeverGivenChanges)
+TEST_F(GivenTwoProcesses, ARequestForEverythingIsNeverAnsweredWithChanges)
 {
-  // All that this one ever had are changes, so that they reach back to zero.
+  // This store has only ever received changes, so they reach back to zero.
   ConfigStore young;
   young.ApplyChanges(3, { Model("a", 3) });
   EXPECT_TRUE(young.Recent().SerializeSince(0, 0).empty());
@@ -113,7 +114,7 @@
   for (std::uint64_t i = 0; i < 2 * kMaxRecentChanges; ++i) {
     mWatcher.ApplyChanges(100 + i, { Model("m" + std::to_string(i), 100 + i) });
   }
-  EXPECT_TRUE(Text().empty());
+  EXPECT_TRUE(PendingChanges().empty());
   const std::uint64_t newest = mWatcher.Version().mRevision;
   EXPECT_FALSE(mWatcher.Recent().SerializeSince(0, newest - 10).empty());
   EXPECT_TRUE(mWatcher.Recent().SerializeSince(1, newest - 10).empty());
--- a/packages/state/tests/schedules.h
+++ b/packages/state/tests/schedules.h
@@ -4,10 +4,10 @@
 #include <random>
 #include <vector>
 
-/// Schedules for searches by a fixed seed.
+/// Random schedules for searches with fixed seeds.
 namespace shuntjunction::state::history {
 
-/// Runs a function on so many random schedules of 160 bytes.
+/// Runs a function on a number of random schedules of 160 bytes.
 template<typename Function>
 void
 ForEachSchedule(int aCount, Function aRun)
--- a/packages/state/tests/watchers_test.cpp
+++ b/packages/state/tests/watchers_test.cpp
@@ -1,5 +1,5 @@
-// The story of the watchers: a few a zone, the same for everybody, replaced
-// when they go.
+// Tests of the watchers: a few per zone, the same for all processes, and
+// replaced when they leave.
 
 #include <algorithm>
 #include <set>
@@ -24,7 +24,7 @@
     }
   }
 
-  std::set<std::string> Names(const std::string& aZone) const
+  std::set<std::string> WatcherNames(const std::string& aZone) const
   {
     std::set<std::string> names;
     for (const auto& watcher : SelectWatchers(mInstances, aZone, 3)) {
@@ -33,11 +33,12 @@
     return names;
   }
 
-  std::size_t Watching(const std::vector<InstanceInfo>& aInstances) const
+  std::size_t CountWatching(const std::vector<InstanceInfo>& aInstances) const
   {
     return static_cast<std::size_t>(std::count_if(
-      aInstances.begin(), aInstances.end(), [&](const auto& aOne) {
-        return IsWatcher(aInstances, aOne.mName, aOne.mZone, mSettings);
+      aInstances.begin(), aInstances.end(), [&](const auto& aInstance) {
+        return IsWatcher(
+          aInstances, aInstance.mName, aInstance.mZone, mSettings);
       }));
   }
 
@@ -47,7 +48,7 @@
 
 TEST_F(GivenAFleetOfThreeZones, ThreeCompanionsAZoneWatch)
 {
-  EXPECT_EQ(Watching(mInstances), 9U);
+  EXPECT_EQ(CountWatching(mInstances), 9U);
   for (const auto& watcher : SelectWatchers(mInstances, "zone-1", 3)) {
     EXPECT_EQ(watcher.mZone, "zone-1");
     EXPECT_EQ(watcher.mRole, "companion");
@@ -56,20 +57,20 @@
 
 TEST_F(GivenAFleetOfThreeZones, AListInAnotherOrderNamesTheSame)
 {
-  const auto before = Names("zone-2");
+  const auto before = WatcherNames("zone-2");
   std::reverse(mInstances.begin(), mInstances.end());
-  EXPECT_EQ(Names("zone-2"), before);
+  EXPECT_EQ(WatcherNames("zone-2"), before);
 }
 
 TEST_F(GivenAFleetOfThreeZones, OneThatLeavesIsReplacedByOne)
 {
-  const auto before = Names("zone-0");
-  const auto leaving =
-    std::find_if(mInstances.begin(), mInstances.end(), [&](const auto& aOne) {
-      return before.contains(aOne.mName);
+  const auto before = WatcherNames("zone-0");
+  const auto leaving = std::find_if(
+    mInstances.begin(), mInstances.end(), [&](const auto& aInstance) {
+      return before.contains(aInstance.mName);
     });
   leaving->mIsLeaving = true;
-  const auto after = Names("zone-0");
+  const auto after = WatcherNames("zone-0");
   EXPECT_EQ(after.size(), 3U);
   EXPECT_FALSE(after.contains(leaving->mName));
   std::vector<std::string> kept;
@@ -83,31 +84,31 @@
 
 TEST_F(GivenAFleetOfThreeZones, WhereAZoneHasNoCompanionItsRoutersWatch)
 {
-  std::erase_if(mInstances, [](const auto& aOne) {
-    return aOne.mZone == "zone-1" && aOne.mRole == "companion";
+  std::erase_if(mInstances, [](const auto& aInstance) {
+    return aInstance.mZone == "zone-1" && aInstance.mRole == "companion";
   });
-  EXPECT_EQ(Watching(mInstances), 6U + 20U);
+  EXPECT_EQ(CountWatching(mInstances), 6U + 20U);
 }
 
 TEST_F(GivenAFleetOfThreeZones, EachHasAFewPeersOfItsOwnAndNeverItself)
 {
-  std::set<std::string> asked;
+  std::set<std::string> queried;
   for (const auto& instance : mInstances) {
     const auto peers = SelectPeers(mInstances, instance.mName, 3);
     ASSERT_EQ(peers.size(), 3U);
     for (const auto& peer : peers) {
       EXPECT_NE(peer.mName, instance.mName);
       EXPECT_EQ(peer.mRole, "companion");
-      asked.insert(peer.mName);
+      queried.insert(peer.mName);
     }
   }
-  EXPECT_GT(asked.size(), 50U);
+  EXPECT_GT(queried.size(), 50U);
 }
 
 TEST_F(GivenAFleetOfThreeZones, InASmallFleetAllWatch)
 {
   mInstances.resize(mSettings.mAllBelow - 1);
-  EXPECT_EQ(Watching(mInstances), mInstances.size());
+  EXPECT_EQ(CountWatching(mInstances), mInstances.size());
 }
 
 } // namespace
