--- a/packages/coordination/include/shuntjunction/coordination/admin.h
+++ b/packages/coordination/include/shuntjunction/coordination/admin.h
@@ -8,42 +8,42 @@
 #include "shuntjunction/coordination/router.h"
 #include "shuntjunction/transport/http_server.h"
 
-/// The operators' port: health, metrics, status, drain, explain.
+/// The admin HTTP endpoint: health, metrics, status, drain, explain.
 namespace shuntjunction::coordination {
 
-/// What the operators' port needs of its process.
+/// Dependencies of the admin endpoint; references and pointers outlive it.
 struct AdminDependencies
 {
   const state::Settings& mSettings;
   Metrics& mMetrics;
-  Router* mRouter = nullptr;       ///< in a router
-  Companion* mCompanion = nullptr; ///< in a companion
+  Router* mRouter = nullptr;       ///< set in a router, otherwise null
+  Companion* mCompanion = nullptr; ///< set in a companion, otherwise null
   std::function<bool()> mIsStopping;
   std::function<void()> mStop;
-  std::function<std::string()> mStatus; ///< as JSON
+  std::function<std::string()> mStatus; ///< returns the status as JSON
 };
 
-/// Answers /healthz, /readyz, /metrics, /status, /drain and /explain.
+/// Serves /healthz, /readyz, /metrics, /status, /drain and /explain.
 ///
-/// All but the first three ask for the shared secret as a bearer key.
-/// Thread safety: none; lives on the traffic thread.
+/// All paths but the first three require the shared secret as a bearer token.
+/// Thread safety: none; used on the traffic thread.
 class Admin final : public transport::HttpHandler
 {
 public:
-  explicit Admin(AdminDependencies aParts);
+  explicit Admin(AdminDependencies aDependencies);
 
   transport::Task<void> Handle(transport::HttpExchange& aExchange) override;
   transport::HttpResponse Refusal(unsigned aStatus,
                                   std::string_view aText) override;
 
 private:
-  transport::Task<transport::HttpResponse> Answer(
+  transport::Task<transport::HttpResponse> Route(
     const transport::HttpRequest& aRequest);
-  transport::Task<transport::HttpResponse> AnswerExplain(
+  transport::Task<transport::HttpResponse> HandleExplain(
     const transport::HttpRequest& aRequest);
   bool IsReady() const;
 
-  AdminDependencies mParts;
+  AdminDependencies mDependencies;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/backend.h
+++ b/packages/coordination/include/shuntjunction/coordination/backend.h
@@ -14,10 +14,10 @@
 #include "shuntjunction/transport/http_client.h"
 #include "shuntjunction/transport/task.h"
 
-/// What a companion speaks to: a model engine or a plain service.
+/// Backends of a companion: a model engine or a plain HTTP service.
 namespace shuntjunction::coordination {
 
-/// What a backend says of itself.
+/// State that a backend reports.
 struct BackendState
 {
   state::Incarnation mIncarnation = 0;
@@ -25,12 +25,12 @@
   std::uint32_t mWeights = 0;
   std::vector<std::string> mAdapters;
   state::EngineRole mRole = state::EngineRole::kBoth;
-  std::uint64_t mFence = 0; ///< highest fencing number it has obeyed
+  std::uint64_t mFence = 0; ///< highest fencing token accepted so far
 
   bool operator==(const BackendState&) const = default;
 };
 
-/// What a backend is to become.
+/// The state that an engine is ordered to change to.
 struct BackendOrder
 {
   std::uint64_t mFence = 0;
@@ -40,16 +40,16 @@
   state::EngineRole mRole = state::EngineRole::kBoth;
 };
 
-/// A request as it is handed over.
+/// A request to a backend.
 struct BackendCall
 {
   protocol::Submit mSubmit;
-  std::string mSalt; ///< separates the engine's caches by team and weights
-  std::vector<state::PrefixHash> mChain; ///< names of the prompt's blocks
-  std::shared_ptr<transport::CancelHandle> mCancel; ///< cuts the answer off
+  std::string mSalt; ///< isolates cache entries by team and weights version
+  std::vector<state::PrefixHash> mChain; ///< hashes of the prompt's blocks
+  std::shared_ptr<transport::CancelHandle> mCancel; ///< aborts the response
 };
 
-/// Tokens of an answer.
+/// Generated tokens.
 struct BackendTokens
 {
   std::uint32_t mOffset = 0;
@@ -57,42 +57,42 @@
   std::string mText;
 };
 
-/// The end of a complete answer.
+/// The end of a complete response.
 struct BackendEnd
 {
   unsigned mStatus = 200;
   std::string mContentType;
-  std::string mBody; ///< of a plain service
+  std::string mBody; ///< empty for an engine, which streams tokens
   std::uint32_t mTotalTokens = 0;
   std::string mFinishReason;
   std::uint32_t mPromptTokens = 0;
   std::uint32_t mCachedTokens = 0;
 };
 
-/// A piece of an answer.
+/// One event of a response stream.
 using BackendEvent = std::variant<BackendTokens, BackendEnd>;
 
-/// An answer while it arrives; destroying it early cancels the work.
+/// A response stream; destroying it before its end cancels the request.
 class BackendResponse
 {
 public:
   virtual ~BackendResponse() = default;
 
-  /// Life of the engine that answers; 0 for a plain service.
+  /// Incarnation of the responding engine; 0 for a plain service.
   virtual state::Incarnation CurrentIncarnation() const = 0;
 
-  /// Weights version that answers; 0 for a plain service.
+  /// Weights version of the responding engine; 0 for a plain service.
   virtual std::uint32_t Weights() const = 0;
 
-  /// Blocks of the prompt that were cached.
+  /// Number of the prompt's blocks that were cached.
   virtual std::uint32_t CachedBlocks() const = 0;
 
-  /// The next piece; an error when the answer was cut off.
+  /// Waits for the next event; an error if the response was interrupted.
   virtual transport::Task<state::Result<BackendEvent>> Next(
     state::Millis aTimeout) = 0;
 };
 
-/// Cache events from one point on.
+/// Cache events after a sequence number.
 struct CacheEvents
 {
   state::Incarnation mIncarnation = 0;
@@ -107,16 +107,16 @@
 public:
   virtual ~Backend() = default;
 
-  /// Hands a request over.
+  /// Sends a request.
   ///
-  /// @return kUnavailable when it was certainly not run
+  /// @return kUnavailable if the request was certainly not run
   virtual transport::Task<state::Result<std::unique_ptr<BackendResponse>>> Open(
     BackendCall aCall) = 0;
 
-  /// What it says of itself now.
+  /// Queries the backend's state.
   virtual transport::Task<state::Result<BackendState>> State() = 0;
 
-  /// Whether it has a prefix cache and takes orders.
+  /// Whether it is a model engine, with a prefix cache and orders.
   virtual bool IsEngine() const = 0;
 
   /// Waits for cache events after a sequence number.
@@ -124,22 +124,22 @@
     std::uint64_t aAfter,
     state::Millis aWait) = 0;
 
-  /// Orders it to load a model or to change role.
+  /// Orders it to load a model or to change its role.
   ///
-  /// @return kConflict when it refused an old fencing number
+  /// @return kConflict if it rejected the order's fencing token as outdated
   virtual transport::Task<state::Result<void>> Order(BackendOrder aOrder) = 0;
 };
 
-/// Makes the backend of a model engine.
+/// Creates the backend for a model engine.
 std::unique_ptr<Backend>
 MakeEngineBackend(const state::Address& aAddress,
                   const state::CompanionSettings& aSettings,
-                  std::size_t aMaxAnswerBytes);
+                  std::size_t aMaxResponseBytes);
 
-/// Makes the backend of a plain service.
+/// Creates the backend for a plain service.
 std::unique_ptr<Backend>
 MakeServiceBackend(const state::Address& aAddress,
                    const state::CompanionSettings& aSettings,
-                   std::size_t aMaxAnswerBytes);
+                   std::size_t aMaxResponseBytes);
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/chat_api.h
+++ b/packages/coordination/include/shuntjunction/coordination/chat_api.h
@@ -11,28 +11,28 @@
 #include "shuntjunction/state/error.h"
 #include "shuntjunction/state/request_types.h"
 
-/// The callers' API as existing client libraries expect it.
+/// The callers' API, compatible with existing client libraries.
 namespace shuntjunction::coordination {
 
-/// What a router needs to know of a chat or text completion call.
+/// The fields of a chat or text completion request that a router uses.
 struct ChatCall
 {
   state::RequestKind mKind = state::RequestKind::kChat;
   std::string mModel;
   bool mIsStream = false;
   bool mWantsUsage = false;         ///< stream_options.include_usage
-  std::vector<std::string> mLevels; ///< texts of the prompt's levels
+  std::vector<std::string> mLevels; ///< text of each prompt level
 };
 
-/// Reads the body of a call.
+/// Parses a request body.
 state::Result<ChatCall>
 ReadChatCall(state::RequestKind aKind, std::string_view aBody);
 
-/// Texts of the levels of a prompt: one a message, or one of a text prompt.
+/// Text of each prompt level: one per message, or one for a text prompt.
 std::vector<std::string>
 PromptLevels(state::RequestKind aKind, const boost::json::object& aBody);
 
-/// What all parts of one answer have in common.
+/// Fields that all chunks of one response share.
 struct ResponseMetadata
 {
   state::RequestKind mKind = state::RequestKind::kChat;
@@ -41,48 +41,48 @@
   std::int64_t mCreated = 0; ///< seconds since the Unix epoch
 };
 
-/// One piece of a streamed answer, as a server-sent event.
+/// Serializes a chunk of a streamed response as a server-sent event.
 std::string
-WriteChunk(const ResponseMetadata& aHead,
+WriteChunk(const ResponseMetadata& aMetadata,
            std::string_view aText,
            std::string_view aFinishReason);
 
-/// The piece that carries the usage counts, as a server-sent event.
+/// Serializes the chunk with the usage counts as a server-sent event.
 std::string
-WriteUsageChunk(const ResponseMetadata& aHead,
+WriteUsageChunk(const ResponseMetadata& aMetadata,
                 const protocol::Finished& aFinished);
 
-/// Last event of a complete stream.
+/// The last event of a complete stream.
 inline constexpr std::string_view kStreamEnd = "data: [DONE]\n\n";
 
-/// A whole answer.
+/// Serializes a complete response that is not streamed.
 std::string
-WriteFullResponse(const ResponseMetadata& aHead,
+WriteFullResponse(const ResponseMetadata& aMetadata,
                   std::string_view aText,
                   const protocol::Finished& aFinished);
 
-/// Why a request got no answer.
+/// An error response.
 struct ApiError
 {
   unsigned mStatus = 500;
-  std::string mType;     ///< as "invalid_request_error"
-  std::string mCode;     ///< as "not_run"
+  std::string mType;     ///< e.g. "invalid_request_error"
+  std::string mCode;     ///< e.g. "not_run"
   std::string mMessage;  ///< one sentence
-  std::string mRunState; ///< name of a RunState; empty when it says nothing
-  std::uint32_t mRetryAfterMs = 0; ///< when to come back; 0 when not to
+  std::string mRunState; ///< name of a RunState; empty if not applicable
+  std::uint32_t mRetryAfterMs = 0; ///< advised delay of a retry; 0 if none
 };
 
-/// The error object that client libraries expect.
+/// Serializes an error object in the format that client libraries expect.
 std::string
 WriteError(const ApiError& aError);
 
-/// The list of models.
+/// Serializes the list of models.
 std::string
 WriteModels(const std::vector<std::string>& aModels);
 
-/// Class of a request by its Priority field (RFC 9218, "u=0" to "u=7").
+/// Priority class for a Priority header field (RFC 9218, "u=0" to "u=7").
 ///
-/// @return empty when the field names no urgency
+/// @return empty if the field contains no valid urgency
 std::optional<state::Priority>
 ReadPriorityField(std::string_view aValue);
 
--- a/packages/coordination/include/shuntjunction/coordination/claim_manager.h
+++ b/packages/coordination/include/shuntjunction/coordination/claim_manager.h
@@ -8,55 +8,58 @@
 #include "shuntjunction/state/claim_machine.h"
 #include "shuntjunction/state/clock.h"
 
-/// Claims of not-repeatable requests in the platform.
+/// At-most-once claims of non-repeatable requests, stored in the platform.
 namespace shuntjunction::coordination {
 
-/// Longest outcome that is recorded for later arrivals of a key.
+/// Maximum size of an outcome that is recorded for later requests with the same
+/// key.
 inline constexpr std::size_t kMaxRecordedBytes = 256UL * 1024;
 
-/// How a claim was settled.
+/// The result of an attempt to claim a key.
 struct ClaimResult
 {
   state::ClaimStep mStep = state::ClaimStep::kUndecided;
-  state::ClaimRecord mRecord;  ///< own record, or the other's
-  std::string mKey;            ///< of the record in the platform
-  std::uint64_t mRevision = 0; ///< of the own record; 0 when not known
+  state::ClaimRecord mRecord;  ///< own record, or that of the other claimant
+  std::string mKey;            ///< platform key of the record
+  std::uint64_t mRevision = 0; ///< of the own record; 0 if unknown
 };
 
-/// Settles claims by conditional writes and reads back what is unsure.
+/// Acquires claims by conditional writes, and reads a record back if the
+/// outcome of a write is unknown.
 ///
 /// Thread safety: none; used on one thread.
 class ClaimManager
 {
 public:
-  /// @param aPlatform, aClock, aMetrics  outlive the keeper
+  /// @param aPlatform, aClock, aMetrics  outlive the manager
   ClaimManager(boost::asio::io_context& aContext,
                Platform& aPlatform,
                const state::Clock& aClock,
                Metrics& aMetrics);
 
-  /// Claims a key for a request.
+  /// Acquires the claim of a key for a request.
   ///
   /// @param aDigest  SHA-256 of the request
-  /// @param aUntil   when to give up; nothing is run after kUndecided
-  transport::Task<ClaimResult> Settle(std::string aTeam,
-                                      std::string aKey,
-                                      std::string aDigest,
-                                      state::TimePoint aUntil);
+  /// @param aUntil   when to give up; the request must not be run after
+  ///                 kUndecided
+  transport::Task<ClaimResult> Acquire(std::string aTeam,
+                                       std::string aKey,
+                                       std::string aDigest,
+                                       state::TimePoint aUntil);
 
-  /// Records the outcome of a request that was run under a claim.
-  transport::Task<void> Record(ClaimResult aVerdict);
+  /// Records the outcome of a request that ran under a claim.
+  transport::Task<void> Record(ClaimResult aClaim);
 
-  /// Starts to delete a claim whose request was certainly not run.
-  void Release(const ClaimResult& aVerdict);
+  /// Starts the deletion of a claim whose request was certainly not run.
+  void Release(const ClaimResult& aClaim);
 
-  /// Records and releases that are still being written.
+  /// Number of Record and Release operations in progress.
   std::size_t Pending() const { return mPending; }
 
 private:
   transport::Task<void> Delete(std::string aKey, std::string aNonce);
   transport::Task<state::Result<std::optional<state::ClaimRecord>>> ReadRecord(
-    ClaimResult& aVerdict);
+    ClaimResult& aClaim);
 
   boost::asio::io_context& mContext;
   Platform& mPlatform;
--- a/packages/coordination/include/shuntjunction/coordination/claim_sweeper.h
+++ b/packages/coordination/include/shuntjunction/coordination/claim_sweeper.h
@@ -10,21 +10,21 @@
 #include "shuntjunction/coordination/platform.h"
 #include "shuntjunction/state/clock.h"
 
-/// Deletes claims that are older than their retention.
+/// Deletes claims whose retention time has passed.
 namespace shuntjunction::coordination {
 
 /// Settings of a ClaimSweeper.
 struct ClaimSweeperSettings
 {
-  std::string mName; ///< of this companion
+  std::string mName; ///< name of this companion
   state::Millis mRetention{ 24L * 3600 * 1000 };
 };
 
-/// Sweeps the companion's share of the shards, one after the other.
+/// Sweeps the claim shards assigned to this companion, one after the other.
 ///
-/// Each shard is looked at eight times in the retention. A shard whose list
-/// or deletes fail waits for its next turn.
-/// Thread safety: none; lives on the traffic thread.
+/// Each shard is swept eight times per retention time. If listing or deleting
+/// fails, the shard is retried in its next sweep.
+/// Thread safety: none; used on the traffic thread.
 class ClaimSweeper
 {
 public:
@@ -35,19 +35,19 @@
                const state::Clock& aClock,
                Metrics& aMetrics);
 
-  /// Starts to sweep; runs until the context stops.
+  /// Starts sweeping; runs until the context stops.
   void Start();
 
-  /// Takes the list of instances that came into force.
+  /// Sets the current list of instances, which determines the shard assignment.
   void ApplyInstances(SharedInstances aInstances);
 
-  /// Deletes the old claims of one shard.
+  /// Deletes the expired claims of one shard.
   ///
-  /// @return how many were deleted
+  /// @return number of claims deleted
   transport::Task<std::size_t> Sweep(std::size_t aShard);
 
 private:
-  transport::Task<void> Follow();
+  transport::Task<void> RunLoop();
 
   boost::asio::io_context& mContext;
   ClaimSweeperSettings mSettings;
@@ -57,7 +57,7 @@
   Log mLog;
   SharedInstances mInstances =
     std::make_shared<const std::vector<state::InstanceInfo>>();
-  std::vector<std::size_t> mTurns; ///< all shards, in this process's order
+  std::vector<std::size_t> mShardOrder; ///< all shards, in random order
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/companion.h
+++ b/packages/coordination/include/shuntjunction/coordination/companion.h
@@ -19,12 +19,13 @@
 #include "shuntjunction/state/warming.h"
 #include "shuntjunction/transport/frame_channel.h"
 
-/// The process beside each endpoint, which alone speaks to its backend.
+/// The sidecar of an endpoint; all requests to the backend pass through it.
 namespace shuntjunction::coordination {
 
-/// Takes requests from routers, admits or refuses them, and runs them.
+/// Accepts requests from routers, admits or refuses them, and runs them on the
+/// backend.
 ///
-/// Thread safety: none; lives on the traffic thread.
+/// Thread safety: none; used on the traffic thread.
 class Companion
 {
 public:
@@ -40,34 +41,36 @@
   Companion(const Companion&) = delete;
   Companion& operator=(const Companion&) = delete;
 
-  /// Starts to listen; returns the address with the kernel's port.
+  /// Starts listening; returns the address with the port that was assigned.
   state::Result<state::Address> Start();
 
-  /// Takes a configuration that came into force.
+  /// Applies a new configuration.
   void ApplyConfig(PublishedConfig aConfig);
 
-  /// Refuses new work, tells all routers, and lets running work end.
+  /// Refuses new requests, notifies all routers and lets running requests
+  /// finish.
   void BeginDrain();
 
-  /// Whether nothing runs and nothing is left to be written.
+  /// Whether no request runs and no claim is still to be written.
   bool IsIdle() const;
 
-  /// Whether a configuration is in force and the backend answers.
+  /// Whether a configuration is active, the backend is up and no drain has
+  /// begun.
   bool IsReady() const;
 
-  /// Refuses new work while the backend is being changed.
+  /// Pauses or resumes admission, e.g. while the engine is reconfigured.
   void PauseAdmission(bool aIsPaused);
 
-  /// What the backend last said of itself; no incarnation when it is down.
+  /// The backend's last reported state; the incarnation is 0 if it is down.
   const BackendState& LastState() const { return mState; }
 
-  /// Asks the backend what it is, at once.
+  /// Polls the backend's state now.
   transport::Task<void> Refresh();
 
-  /// Requests at the backend.
+  /// Number of requests that the backend is running.
   std::size_t Running() const { return mQueue.Running(); }
 
-  /// Brings the gauges up to date.
+  /// Updates the gauges.
   void UpdateGauges();
 
 private:
@@ -76,25 +79,25 @@
   using WorkPtr = std::shared_ptr<Work>;
 
   transport::Task<void> Accept();
-  transport::Task<void> FollowState();
-  transport::Task<void> FollowEvents();
-  transport::Task<void> FollowStarts();
+  transport::Task<void> PollState();
+  transport::Task<void> FollowCacheEvents();
+  transport::Task<void> RunWarming();
   void Warm(const state::WarmTask& aTask);
   void NoteState(const BackendState& aState);
-  void NoteDown(const state::Error& aError);
+  void NoteBackendFailure(const state::Error& aError);
 
   void Dispatch(const std::shared_ptr<Session>& aSession,
                 protocol::Message aMessage);
   void AnswerProbe(Session& aSession, const protocol::Probe& aProbe);
-  void HearVersion(Session& aSession, std::uint64_t aVersion);
+  void NotePeerVersion(Session& aSession, std::uint64_t aVersion);
   void BeginWork(const std::shared_ptr<Session>& aSession,
                  protocol::Submit aSubmit);
 
   void Admit(const WorkPtr& aWork);
   transport::Task<void> RunWork(WorkPtr aWork);
   transport::Task<bool> AwaitAdmission(WorkPtr aWork);
-  transport::Task<bool> AwaitClaim(WorkPtr aWork, ClaimResult& aVerdict);
-  transport::Task<void> RunBackend(WorkPtr aWork, ClaimResult aVerdict);
+  transport::Task<bool> AwaitClaim(WorkPtr aWork, ClaimResult& aClaim);
+  transport::Task<void> RunBackend(WorkPtr aWork, ClaimResult aClaim);
   transport::Task<bool> AwaitWindow(WorkPtr aWork);
   void FinishWork(Work& aWork, const BackendEnd& aEnd);
   void Replay(Work& aWork, const state::ClaimRecord& aRecord);
@@ -106,8 +109,8 @@
               state::Millis aRetryAfter);
   void Fail(Work& aWork, state::RunState aRunState, std::string_view aText);
   void Apply(const std::vector<state::AdmissionRefusal>& aRefusals);
-  void Pump();
-  void NoteBlockTime(const Work& aWork);
+  void ProcessQueue();
+  void UpdateBlockTime(const Work& aWork);
   std::uint64_t ConfigVersion() const;
 
   boost::asio::io_context& mContext;
@@ -125,15 +128,15 @@
   std::unordered_set<std::shared_ptr<Session>> mSessions;
   std::shared_ptr<boost::asio::ip::tcp::acceptor> mAcceptor;
   transport::ChannelCounters mChannelCounters;
-  transport::Timer mPumpTimer;
+  transport::Timer mQueueTimer;
   BackendState mState;
   std::uint64_t mNextTicket = 0;
-  std::uint64_t mHeardVersion = 0;
-  std::unordered_map<state::PrefixHash, state::TimePoint> mWarmed;
+  std::uint64_t mNewestPeerVersion = 0;
+  std::unordered_map<state::PrefixHash, state::TimePoint> mWarmedAt;
   double mMicrosPerBlock = 0;
   std::size_t mActive = 0;
   int mFailedPolls = 0;
-  bool mIsLeaving = false;
+  bool mIsDraining = false;
   bool mIsPaused = false;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/daemon.h
+++ b/packages/coordination/include/shuntjunction/coordination/daemon.h
@@ -5,19 +5,19 @@
 #include "shuntjunction/state/error.h"
 #include "shuntjunction/state/settings.h"
 
-/// A whole shuntjunctiond process.
+/// The shuntjunctiond process.
 namespace shuntjunction::coordination {
 
-/// Addresses that a process listens on, with the ports that the kernel gave.
+/// Addresses that a process listens on, with the ports that were assigned.
 struct DaemonAddresses
 {
-  state::Address mTraffic; ///< callers or routers
+  state::Address mTraffic; ///< for callers (router) or routers (companion)
   state::Address mAdmin;
 };
 
-/// One router or companion: a control thread and a traffic thread.
+/// A router or companion with a control thread and a traffic thread.
 ///
-/// Thread safety: none, but for RequestStop.
+/// Thread safety: none, except for RequestStop.
 class Daemon
 {
 public:
@@ -26,15 +26,16 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Opens the sockets and starts both threads.
+  /// Opens the listening sockets and starts both threads.
   state::Result<DaemonAddresses> Start();
 
-  /// Begins a stop: no new work, and Wait returns when streams have ended.
+  /// Begins a graceful stop: new requests are refused, and Wait returns once
+  /// the running ones have finished.
   ///
   /// Thread safety: may be called from any thread.
   void RequestStop();
 
-  /// Waits until the process has stopped; SIGTERM and SIGINT request it.
+  /// Waits until the process has stopped; SIGTERM and SIGINT request a stop.
   void Wait();
 
 private:
--- a/packages/coordination/include/shuntjunction/coordination/engine_control.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_control.h
@@ -10,40 +10,40 @@
 #include "shuntjunction/state/relay_config.h"
 #include "shuntjunction/transport/task.h"
 
-/// What a companion asks of the engine beside it.
+/// Control calls from a companion to its engine.
 namespace shuntjunction::coordination {
 
-/// What an engine says of itself.
+/// State that an engine reports.
 struct EngineReport
 {
   std::vector<state::LoadedModel> mModels;
-  bool mIsOrderRunning = false; ///< an order is being carried out
-  std::uint64_t mOrdersTaken = 0;
+  bool mIsOrderRunning = false;   ///< an order is in progress
+  std::uint64_t mOrdersTaken = 0; ///< number of accepted orders
   std::int64_t mQueued = 0;
   std::int64_t mActive = 0;
   state::EndpointIncarnation mEndpointIncarnation;
 };
 
-/// An order to load other weights.
+/// An order to load another weights version.
 struct LoadOrder
 {
-  std::string mEndpointId; ///< any other engine must refuse the order
+  std::string mEndpointId; ///< any other engine must reject the order
   std::string mModel;
   std::uint64_t mVersion = 0;
-  std::string mHolder;            ///< who orders
-  std::uint64_t mFence = 0;       ///< higher than that of any earlier order
-  std::uint64_t mOrdersTaken = 0; ///< by the engine, when this was decided
+  std::string mHolder;      ///< name of the ordering process
+  std::uint64_t mFence = 0; ///< fencing token, higher than any earlier one
+  std::uint64_t mOrdersTaken = 0; ///< as reported when this was decided
 };
 
-/// What became of an order.
+/// The outcome of an order.
 enum class OrderOutcome : std::uint8_t
 {
-  kInProgress,
-  kAlreadyLoaded, ///< the engine has these weights already
-  kSuperseded,    ///< another order runs, or came first
-  kFenced,        ///< a higher fencing number was seen
-  kWrongEngine,
-  kRefused,
+  kInProgress,    ///< the engine has accepted the order
+  kAlreadyLoaded, ///< the engine already has these weights
+  kSuperseded,    ///< another order is running or was accepted first
+  kFenced,        ///< the engine has seen a higher fencing token
+  kWrongEngine,   ///< the order names another engine
+  kRefused,       ///< rejected for another reason
 };
 
 /// Names of OrderOutcome.
@@ -51,30 +51,30 @@
   { "under-way", "in-force", "superseded", "fenced", "wrong-engine", "refused" }
 };
 
-/// A change of what an engine or a part store keeps.
+/// A prompt part that an engine or a part store has stored or evicted.
 struct PartChange
 {
   std::string mSalt;
   std::string mPart;
-  bool mIsKept = false; ///< it is kept from now on, or no more
+  bool mIsKept = false; ///< stored if true, evicted if false
 };
 
-/// Changes after a position in the sequence of all.
+/// Changes after a position in the change sequence.
 struct PartChanges
 {
-  std::uint64_t mEpoch = 0; ///< another one: it restarted, and keeps nothing
-  std::uint64_t mNext = 0;  ///< position to ask from next
-  bool mIsGap = false;      ///< some changes before these were forgotten
-  state::EndpointIncarnation
-    mEndpointIncarnation; ///< of the engine or store that tells
+  std::uint64_t mEpoch = 0; ///< differs after a restart, when nothing is stored
+  std::uint64_t mNext = 0;  ///< position for the next call
+  bool mIsGap = false;      ///< some changes before these were discarded
+  /// Of the engine or store that responded.
+  state::EndpointIncarnation mEndpointIncarnation;
   std::vector<PartChange> mChanges;
 };
 
-/// An engine's control calls.
+/// The control interface of an engine.
 ///
 /// Thread safety: none; used on one thread.
-/// Errors: kUnavailable when the call had no effect, kTimeout when its effect
-/// is unknown.
+/// Errors: kUnavailable if the call had no effect, kTimeout if its effect is
+/// unknown.
 class EngineControl
 {
 public:
@@ -82,18 +82,19 @@
 
   virtual ~EngineControl() = default;
 
-  /// Sets what takes what each answer advertises, before the call returns.
-  virtual void SetNoticeHandler(NoticeHandler aTake) = 0;
+  /// Sets the handler for the notice of each response; it is called before the
+  /// control call returns.
+  virtual void SetNoticeHandler(NoticeHandler aHandler) = 0;
 
-  /// Asks for the engine's report.
+  /// Queries the engine's report.
   virtual transport::Task<state::Result<EngineReport>> Report() = 0;
 
-  /// Waits for changes of the parts it keeps, or until aWait has passed.
+  /// Waits up to aWait for changes of the stored parts.
   virtual transport::Task<state::Result<PartChanges>> Changes(
     std::uint64_t aSince,
     state::Millis aWait) = 0;
 
-  /// Gives an order.
+  /// Sends an order.
   virtual transport::Task<state::Result<OrderOutcome>> Order(
     LoadOrder aOrder) = 0;
 };
--- a/packages/coordination/include/shuntjunction/coordination/engine_monitor.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_monitor.h
@@ -5,10 +5,10 @@
 #include "shuntjunction/coordination/engine_control.h"
 #include "shuntjunction/coordination/engine_news.h"
 
-/// Watches the engine beside a companion and tells relays when it is down.
+/// Monitors a companion's engine and notifies relays when it is down.
 namespace shuntjunction::coordination {
 
-/// Asks the engine for its report a few times a second, and hands it on.
+/// Polls the engine's report a few times a second and passes it to a handler.
 ///
 /// Thread safety: none; used on the thread of its context.
 class EngineMonitor
@@ -16,14 +16,14 @@
 public:
   using Handler = std::function<void(const EngineReport&)>;
 
-  /// The engine and the news outlive the watch.
-  /// @param aTake  called with each report
+  /// @param aEngine, aNews  outlive the monitor
+  /// @param aOnReport  called with each report
   EngineMonitor(transport::asio::io_context& aContext,
                 EngineControl& aEngine,
                 EngineNewsServer& aNews,
-                Handler aTake);
+                Handler aOnReport);
 
-  /// Begins to watch.
+  /// Starts polling; runs until the context stops.
   void Start();
 
 private:
@@ -32,7 +32,7 @@
   transport::asio::io_context& mContext;
   EngineControl& mEngine;
   EngineNewsServer& mNews;
-  Handler mTake;
+  Handler mOnReport;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/engine_reconciler.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_reconciler.h
@@ -13,18 +13,19 @@
 #include "shuntjunction/state/config_store.h"
 #include "shuntjunction/state/order_machine.h"
 
-/// Brings an engine in line with the configuration.
+/// Reconciles an engine with the configuration.
 namespace shuntjunction::coordination {
 
-/// Orders the companion's own engine to serve what the configuration names.
+/// Orders the companion's engine to serve the configured model and weights.
 ///
-/// Before an order the companion takes no new work and waits for running
-/// streams; state::OrderMachine decides by whose fencing number it may order.
+/// Before an order the companion pauses admission and waits for running
+/// streams. state::OrderMachine acquires the fencing token that permits the
+/// order.
 ///
-/// Endpoints of one model change one third at a time, in an order that every
-/// companion computes alike, so that the model is served throughout.
+/// The endpoints of a model are updated in three batches, so that the model
+/// stays available. All companions compute the same batches.
 ///
-/// Thread safety: none; lives on the traffic thread.
+/// Thread safety: none; used on the traffic thread.
 class EngineReconciler
 {
 public:
@@ -36,23 +37,24 @@
                    Platform& aPlatform,
                    Metrics& aMetrics);
 
-  /// Starts to reconcile; runs until the context stops.
+  /// Starts reconciling; runs until the context stops.
   void Start();
 
-  /// Takes a configuration that came into force.
+  /// Applies a new configuration.
   void ApplyConfig(std::shared_ptr<const state::ConfigSnapshot> aConfig);
 
 private:
-  transport::Task<void> Follow();
+  transport::Task<void> RunLoop();
   transport::Task<void> Reconcile();
   transport::Task<void> WaitForStreams();
-  transport::Task<bool> IsMyTurn(std::string aModel, std::uint32_t aWeights);
-  transport::Task<bool> Run(state::OrderMachine& aMachine, BackendOrder aOrder);
-  transport::Task<void> Give(BackendOrder aOrder);
+  transport::Task<bool> IsBatchDue(std::string aModel, std::uint32_t aWeights);
+  transport::Task<bool> RunOrderMachine(state::OrderMachine& aMachine,
+                                        BackendOrder aOrder);
+  transport::Task<void> SendOrder(BackendOrder aOrder);
   transport::Task<state::Result<state::StoredFence>> ReadFence();
   transport::Task<void> PauseAfterFailure();
-  std::optional<BackendOrder> Wanted() const;
-  bool IsInLine(const BackendOrder& aOrder) const;
+  std::optional<BackendOrder> DesiredOrder() const;
+  bool IsReconciled(const BackendOrder& aOrder) const;
 
   boost::asio::io_context& mContext;
   const state::Settings& mSettings;
@@ -64,7 +66,7 @@
   std::shared_ptr<const state::ConfigSnapshot> mConfig;
   state::RandomSource mRandom;
   std::string mFenceKey;
-  std::optional<state::TimePoint> mWaitsSince;
+  std::optional<state::TimePoint> mWaitingSince;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/event_log.h
+++ b/packages/coordination/include/shuntjunction/coordination/event_log.h
@@ -16,18 +16,18 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Structured log: one JSON object a line on standard output.
+/// Structured log: one JSON object per line on standard output.
 namespace shuntjunction::coordination {
 
-/// One line: what happened, in which part, to which request.
+/// A log line: an event, its component and optionally a request.
 class EventLine
 {
 public:
-  EventLine(std::string_view aPart,
+  EventLine(std::string_view aComponent,
             std::string_view aEvent,
             std::string_view aRequestId = {});
 
-  /// Adds a field: a text, a number, or true or false.
+  /// Adds a field: a string, number or boolean.
   template<typename T>
   EventLine& Add(std::string_view aName, const T& aValue) &
   {
@@ -44,7 +44,7 @@
     return std::move(Add(aName, aValue));
   }
 
-  /// The event's name, by which its volume is bounded.
+  /// Name of the event; the rate limit applies per name.
   const std::string& Event() const { return mEvent; }
 
 private:
@@ -57,15 +57,16 @@
 /// Settings of an EventLog.
 struct EventLogSettings
 {
-  std::size_t mMaxQueuedBytes = 512UL * 1024; ///< lines that wait to be written
-  std::uint32_t mMaxPerSecond = 400;          ///< lines of one event
-  state::Millis mFlushInterval{ 200 };        ///< lines are written in groups
+  std::size_t mMaxQueuedBytes = 512UL * 1024; ///< limit of the write queue
+  std::uint32_t mMaxPerSecond = 400;          ///< lines per event name
+  state::Millis mFlushInterval{ 200 };        ///< interval of batched writes
 };
 
-/// Writes lines in the background; never blocks the thread that logs.
+/// Writes lines on a background thread; logging never blocks on output.
 ///
-/// A line that finds the queue full, or its event over its limit, is dropped
-/// and counted; the count is logged.
+/// A line is dropped if the queue is full or its event exceeds the rate limit.
+/// Dropped lines are counted, and those over the rate limit are reported in the
+/// log.
 /// Thread safety: all methods may be called from any thread.
 class EventLog
 {
@@ -76,10 +77,10 @@
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /// Logs a line.
+  /// Queues a line.
   void Write(EventLine aLine);
 
-  /// Lines that were dropped since the start.
+  /// Number of lines dropped since the start.
   std::uint64_t Dropped() const { return mDropped.load(); }
 
 private:
@@ -91,7 +92,7 @@
   };
 
   void Append(boost::json::object& aFields);
-  bool TakeQuota(const std::string& aEvent);
+  bool ConsumeQuota(const std::string& aEvent);
   void ReportDropped(const std::string& aEvent, Quota& aQuota);
   void Run();
 
--- a/packages/coordination/include/shuntjunction/coordination/fleet_daemon.h
+++ b/packages/coordination/include/shuntjunction/coordination/fleet_daemon.h
@@ -8,30 +8,31 @@
 #include "shuntjunction/coordination/relay_codec.h"
 #include "shuntjunction/coordination/relay_settings.h"
 
-/// A relay or a companion as a process.
+/// The process of a relay or of its engine companion.
 namespace shuntjunction::coordination {
 
-/// The adapter that a fleet process speaks through; all parts outlive it.
+/// Platform-specific implementations that a fleet process uses; all of them
+/// outlive it.
 struct FleetAdapter
 {
   Platform& mPlatform;
   const StoreCodec& mStoreCodec;
   const RelayCodec& mRelayCodec;
-  /// Makes the control calls of an engine or part store.
+  /// Creates the control interface of an engine or part store.
   std::function<std::unique_ptr<EngineControl>(const state::Address&)>
     mMakeControl;
 };
 
-/// A fleet process: control thread, traffic thread, log, metrics, stop.
+/// A relay or companion with its control and traffic threads, log and metrics.
 ///
-/// SIGTERM and SIGINT stop it in order; SIGHUP reads its settings again.
-/// Thread safety: Start and Run are called once, from one thread.
+/// SIGTERM and SIGINT request a graceful stop; SIGHUP reloads the settings.
+/// Thread safety: Start and Run are called once, from the same thread.
 class FleetDaemon
 {
 public:
   using Reload = std::function<state::Result<FleetSettings>()>;
 
-  /// @param aReload  reads the settings file again
+  /// @param aReload  reloads the settings file
   FleetDaemon(const FleetSettings& aSettings,
               const FleetAdapter& aAdapter,
               Reload aReload);
@@ -39,10 +40,10 @@
   FleetDaemon(const FleetDaemon&) = delete;
   FleetDaemon& operator=(const FleetDaemon&) = delete;
 
-  /// Opens the ports and begins to work.
+  /// Opens the listening sockets and starts the control thread.
   state::Result<void> Start();
 
-  /// Works until it was told to stop and has stopped.
+  /// Runs the traffic thread's event loop until the process has stopped.
   void Run();
 
 private:
--- a/packages/coordination/include/shuntjunction/coordination/http_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/http_platform.h
@@ -9,9 +9,9 @@
 /// The platform's object API over HTTP and JSON.
 namespace shuntjunction::coordination {
 
-/// Speaks to the platform's service.
+/// Client of the platform's HTTP service.
 ///
-/// Calls and watches use connections of their own, kept open between calls.
+/// Calls and watches use separate connections, which stay open between calls.
 /// Thread safety: none; used on one thread.
 class HttpPlatform final : public Platform
 {
--- a/packages/coordination/include/shuntjunction/coordination/log.h
+++ b/packages/coordination/include/shuntjunction/coordination/log.h
@@ -7,21 +7,21 @@
 
 #include "shuntjunction/state/settings.h"
 
-/// Logs: short sentences with a fixed prefix a part.
+/// Text log: short messages, each prefixed with its component.
 namespace shuntjunction::coordination {
 
-/// Sets the log of the process up: one line an event on standard error.
+/// Configures the process's log: one line per message on standard error.
 void
 StartLog(state::LogFormat aFormat, state::LogLevel aLevel);
 
-/// The log of one part.
+/// The log of one component.
 ///
 /// Thread safety: all methods may be called from any thread.
 class Log
 {
 public:
-  /// @param aPart  the fixed prefix, as "router"
-  explicit Log(std::string aPart);
+  /// @param aComponent  prefix of each message, e.g. "router"
+  explicit Log(std::string aComponent);
 
   void Debug(std::string_view aText, std::string_view aRequestId = {}) const;
   void Info(std::string_view aText, std::string_view aRequestId = {}) const;
@@ -33,7 +33,7 @@
              std::string_view aText,
              std::string_view aRequestId) const;
 
-  std::string mPart;
+  std::string mComponent;
   log4cplus::Logger mLogger;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/metrics.h
+++ b/packages/coordination/include/shuntjunction/coordination/metrics.h
@@ -17,23 +17,24 @@
 
 #include "shuntjunction/state/request_types.h"
 
-/// What a process measures of itself.
+/// Metrics of a process.
 namespace shuntjunction::coordination {
 
-/// Teams that have histograms of their own; further ones share "other".
-inline constexpr std::size_t kMaxMeasuredTeams = 2048;
+/// Maximum number of teams with separate histograms; further teams are counted
+/// together as "other".
+inline constexpr std::size_t kMaxTeamsWithHistograms = 2048;
 
-/// What is measured of requests, by team and class.
+/// Metrics of requests, recorded by team and priority class.
 enum class RequestMetric : std::uint8_t
 {
   kFirstToken,    ///< seconds from arrival to the first token
   kBetweenTokens, ///< seconds between two tokens
-  kQueue,         ///< seconds until an endpoint took it
-  kCachedShare,   ///< share of its prompt's blocks that were cached
-  kRecomputed,    ///< blocks of its prompt that were computed
+  kQueue,         ///< seconds until an endpoint accepted the request
+  kCachedShare,   ///< fraction of the prompt's blocks that were cached
+  kRecomputed,    ///< blocks of the prompt that were computed
 };
 
-/// Names of RequestMetric, as metrics.
+/// Metric names of RequestMetric.
 inline constexpr state::EnumNames<RequestMetric, 5> kRequestMetricNames{
   { "shuntjunction_first_token_seconds",
     "shuntjunction_between_tokens_seconds",
@@ -42,25 +43,26 @@
     "shuntjunction_recomputed_blocks" }
 };
 
-/// Counts of values in buckets, with their sum and greatest.
+/// Histogram of values with their sum and maximum.
 class Histogram
 {
 public:
   static constexpr std::size_t kBuckets = 14;
 
-  /// @param aBounds  upper bounds of the buckets, rising
+  /// @param aBounds  upper bounds of the buckets in ascending order; they
+  ///                 outlive the histogram
   explicit Histogram(const std::array<double, kBuckets>& aBounds);
 
-  /// Adds one value.
+  /// Records a value.
   void Add(double aValue);
 
-  /// Values added.
+  /// Number of recorded values.
   std::uint64_t Count() const;
-  /// Sum of the values.
+  /// Sum of the recorded values.
   double Sum() const;
   /// Upper bounds of the buckets.
   const std::array<double, kBuckets>& Bounds() const { return *mBounds; }
-  /// Values at or below each bound that are above the one before.
+  /// Number of values per bucket, not cumulative; the last bucket is unbounded.
   const std::array<std::uint32_t, kBuckets + 1>& Buckets() const
   {
     return mBuckets;
@@ -78,7 +80,7 @@
   Accumulator mAccumulator;
 };
 
-/// Labels of a metric, in order.
+/// Labels of a metric, as name and value.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
 /// All metrics of a process.
@@ -87,26 +89,26 @@
 class Metrics
 {
 public:
-  /// Adds a value of a request.
-  void Observe(RequestMetric aMeasure,
+  /// Records a value for a request.
+  void Observe(RequestMetric aMetric,
                std::string_view aTeam,
                state::Priority aPriority,
                double aValue);
 
-  /// Adds to a counter, made on first use.
+  /// Increments a counter, which is created on first use.
   void Count(std::string_view aName,
              const MetricLabels& aLabels = {},
              double aBy = 1.0);
 
-  /// Sets a gauge, made on first use.
+  /// Sets a gauge, which is created on first use.
   void Set(std::string_view aName,
            double aValue,
            const MetricLabels& aLabels = {});
 
-  /// Value of a counter or gauge; zero when it was never used.
+  /// Value of a counter or gauge; zero if it does not exist.
   double Value(std::string_view aName, const MetricLabels& aLabels = {}) const;
 
-  /// All metrics in the text exposition format.
+  /// Serializes all metrics in the Prometheus text exposition format.
   std::string Expose() const;
 
 private:
@@ -128,7 +130,7 @@
 
   std::map<Series, double> mCounters;
   std::map<Series, double> mGauges;
-  std::array<RequestHistograms, 5> mRequests;
+  std::array<RequestHistograms, 5> mRequestHistograms;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
@@ -14,14 +14,14 @@
 #include "shuntjunction/state/jittered_pause.h"
 #include "shuntjunction/state/zone_watchers.h"
 
-/// The platform as the watchers of a process's zone tell it.
+/// The platform as mirrored by the watchers of an availability zone.
 namespace shuntjunction::coordination {
 
-/// Kinds of calls to the store, each of which has its price.
+/// Kinds of calls to the store; their costs differ.
 enum class StoreCall : std::uint8_t
 {
   kList,
-  kListCached, ///< a list that may be old
+  kListCached, ///< a list that may be outdated
   kRead,
   kWrite,
   kWatch,
@@ -35,66 +35,72 @@
 /// Settings of a MirroredPlatform.
 struct MirroredPlatformSettings
 {
-  std::string mName;   ///< of this process
+  std::string mName;   ///< name of this process
   std::string mSecret; ///< shared with the watchers
   std::string mZone;
-  std::string mLocalEngine;     ///< address; its companion asks nobody else
-  std::uint16_t mWatchPort = 0; ///< at which watchers answer
-  std::vector<std::string> mPrefixes; ///< that are asked for
-  std::string mConfirmed; ///< prefix whose confirmations are waited for
-  /// Between two questions. What changes is heard so much later than from the
-  /// store; the bounds on keys and leaving endpoints are some ten times this.
+  std::string mLocalEngine;     ///< engine address; identifies this companion
+  std::uint16_t mWatchPort = 0; ///< port on which watchers serve
+  std::vector<std::string> mPrefixes; ///< prefixes to mirror
+  /// Prefix whose watches return on every update, as a confirmation.
+  std::string mConfirmed;
+  /// Interval between queries. Changes arrive later by up to this time than
+  /// from the store itself; the bounds on key removal and leaving endpoints are
+  /// about ten times as long.
   state::Millis mAskInterval{ 600 };
   state::Millis mResponseTimeout{ 400 };
-  /// A watcher whose word of the configuration is older has lost the store.
+  /// If a watcher's configuration was confirmed longer ago than this, the
+  /// watcher has lost the store.
   state::Millis mMaxAge{ 1600 };
-  /// After all watchers failed, the store is asked itself for so long.
+  /// Time for which the store is queried directly after all watchers failed.
   state::Millis mFallbackDuration{ 3000 };
   state::ZoneWatcherSettings mWatchers;
 };
 
-/// Answers lists and watches from what a watcher of the zone tells, and by the
-/// store itself while no watcher does, or for a process that is one.
+/// Serves lists and watches from the mirror of a watcher in the zone. Falls
+/// back to the store while no watcher responds, and in a process that is a
+/// watcher.
 ///
-/// Each process that followed the store itself made a call a second and one a
-/// change: 15,580 calls in 58 s for 283 processes.
-/// Thread safety: none; used on the thread of its context, but for IsMirrored
-/// and Answers.
+/// This saves calls to the store: if every process follows the store itself,
+/// each makes one call per second and one per change, e.g. 15,580 calls in 58 s
+/// for 283 processes.
+/// Thread safety: none; used on the thread of its context, except for
+/// IsMirrored, Calls and MirrorResponses.
 class MirroredPlatform final : public Platform
 {
 public:
-  /// @param aStore  outlives this, as do clock and log
+  /// @param aStore, aClock, aLog  outlive this
   MirroredPlatform(transport::asio::io_context& aContext,
                    const MirroredPlatformSettings& aSettings,
                    Platform& aStore,
                    const state::Clock& aClock,
                    EventLog& aLog);
 
-  /// Begins to ask watchers, once any are known.
+  /// Starts querying watchers, once any are known.
   void Start();
 
-  /// Takes the endpoints from which the watchers are known.
+  /// Sets the endpoints, from which the zone's watchers are derived.
   void ApplyEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
 
-  /// Notes that others ask this process, which therefore follows the store
+  /// Notes a request from another process; this process then follows the store
   /// itself.
   void NoteRequest();
 
-  /// Whether others asked it lately.
+  /// Whether other processes have sent requests recently.
   bool HasRecentRequests() const;
 
-  /// Whether a watcher answers for the store; may be asked from any thread.
-  bool IsMirrored() const { return mIsServed.load(); }
-
-  /// Calls that reached the store itself, of one kind; may be asked from any
+  /// Whether a watcher serves in place of the store; may be called from any
   /// thread.
+  bool IsMirrored() const { return mIsMirrored.load(); }
+
+  /// Number of calls of one kind made to the store itself; may be called from
+  /// any thread.
   std::uint64_t Calls(StoreCall aCall) const
   {
     return mCalls[static_cast<std::size_t>(aCall)].load();
   }
 
-  /// Answers of watchers that were taken; may be asked from any thread.
-  std::uint64_t MirrorResponses() const { return mAnswers.load(); }
+  /// Number of watcher responses applied; may be called from any thread.
+  std::uint64_t MirrorResponses() const { return mMirrorResponses.load(); }
 
   transport::Task<state::Result<ObjectList>> List(std::string aPrefix) override;
   transport::Task<state::Result<ObjectList>> ListCached(
@@ -118,28 +124,28 @@
   void AbandonCalls() override;
 
 private:
-  /// What came of a question.
-  enum class AskOutcome : std::uint8_t
+  /// The outcome of querying a watcher, from worst to best.
+  enum class QueryOutcome : std::uint8_t
   {
-    kNobody, ///< there is nobody to ask
-    kSilent, ///< not answered
-    kStale,  ///< answered by one that lost the store, or does not know it yet
-    kServed,
+    kNoWatcher,  ///< there is no watcher to query
+    kNoResponse, ///< no valid response
+    kStale,      ///< the watcher has lost the store, or not read it yet
+    kUpdated,    ///< a response was applied
   };
 
   void Count(StoreCall aCall);
   transport::Task<void> Run();
-  /// Asks one watcher after the other, until one serves.
-  transport::Task<AskOutcome> QueryWatchers();
-  transport::Task<AskOutcome> Ask(std::string aAddress);
-  bool IsFresh(const state::MirrorUpdate& aPage) const;
-  void SetServed(bool aIsServed);
-  /// Ends the waits of all watches that wait here.
-  void WakeWaiting();
-  transport::Task<void> WaitForNews(state::TimePoint aUntil);
-  bool IsServedFor(std::string_view aPrefix) const;
-  MirrorFreshness Source(const state::MirroredTopic& aTopic) const;
-  std::optional<ObjectList> ListHere(std::string_view aPrefix) const;
+  /// Queries the watchers in order until one serves.
+  transport::Task<QueryOutcome> QueryWatchers();
+  transport::Task<QueryOutcome> QueryWatcher(std::string aAddress);
+  bool IsFresh(const state::MirrorUpdate& aUpdate) const;
+  void SetMirrored(bool aIsMirrored);
+  /// Wakes all watches that wait for the mirror.
+  void WakeWaiters();
+  transport::Task<void> WaitForUpdate(state::TimePoint aUntil);
+  bool IsPrefixMirrored(std::string_view aPrefix) const;
+  MirrorFreshness FreshnessOf(const state::MirroredTopic& aTopic) const;
+  std::optional<ObjectList> ListFromMirror(std::string_view aPrefix) const;
 
   transport::asio::io_context& mContext;
   MirroredPlatformSettings mSettings;
@@ -148,15 +154,15 @@
   EventLog& mLog;
   SnapshotClient mClient;
   state::ObjectMirror mMirror;
-  std::vector<std::string> mWatchers; ///< addresses at which they answer
-  bool mIsWatcher = false;            ///< the first of them is this process
-  std::uint64_t mEpoch = 0;           ///< of the mirror that answered last
-  std::uint64_t mSequence = 0;        ///< up to which it told
-  std::atomic<std::uint64_t> mAnswers{ 0 };
+  std::vector<std::string> mWatchers; ///< addresses to query
+  bool mIsWatcher = false;     ///< this process is the zone's first watcher
+  std::uint64_t mEpoch = 0;    ///< of the mirror that responded last
+  std::uint64_t mSequence = 0; ///< up to which its changes were applied
+  std::atomic<std::uint64_t> mMirrorResponses{ 0 };
   std::array<std::atomic<std::uint64_t>, kStoreCallNames.Size()> mCalls{};
-  std::atomic<bool> mIsServed{ false };
-  std::optional<state::TimePoint> mAskedAt; ///< by others
-  std::list<transport::Timer> mWaiting;
+  std::atomic<bool> mIsMirrored{ false };
+  std::optional<state::TimePoint> mLastRequestAt; ///< from another process
+  std::list<transport::Timer> mWaiters;
   state::RandomSource mRandom;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/part_store_reporter.h
+++ b/packages/coordination/include/shuntjunction/coordination/part_store_reporter.h
@@ -11,10 +11,10 @@
 #include "shuntjunction/coordination/relay_feed.h"
 #include "shuntjunction/coordination/relay_settings.h"
 
-/// Tells relays what the part store keeps.
+/// Reports the contents of the part store to relays.
 namespace shuntjunction::coordination {
 
-/// What a PartStoreReporter is built from; all parts outlive it.
+/// Dependencies of a PartStoreReporter; all of them outlive it.
 struct PartStoreReporterDependencies
 {
   transport::asio::io_context& mContext;
@@ -27,33 +27,34 @@
   EventLog& mLog;
 };
 
-/// Follows a part store where this companion is one of the few that do.
+/// Follows the changes of a part store if this companion is selected to.
 ///
-/// A store answers few such calls at once, so not every process may ask; two
-/// companions a store do, chosen by a function of the list that all compute
-/// alike.
+/// A part store serves only few concurrent change queries, so only two
+/// companions per store follow it. All companions derive the same selection
+/// from the endpoint list.
 /// Thread safety: none; used on the thread of its context.
 class PartStoreReporter
 {
 public:
-  explicit PartStoreReporter(const PartStoreReporterDependencies& aParts);
+  explicit PartStoreReporter(
+    const PartStoreReporterDependencies& aDependencies);
 
-  /// Begins to look whether it is its turn.
+  /// Starts checking whether this companion is selected.
   void Start();
 
-  /// Takes a newer view of the platform's objects.
+  /// Sets a newer view of the platform's objects.
   void ApplyView(std::shared_ptr<const RelayView> aView);
 
 private:
   transport::Task<void> Run();
-  /// Address of the store that the companion of a rank follows; empty when it
-  /// follows none, nothing when there is no configuration yet.
+  /// Address of the store that the companion of a rank follows; an empty string
+  /// if it follows none, nullopt if no configuration could be read.
   transport::Task<std::optional<std::string>> FindStore(std::size_t aRank);
-  /// Engines that come before this companion's in the order of tellers; empty
-  /// when its own is not listed.
+  /// Rank of this companion's engine in the selection order; nullopt if the
+  /// engine is not listed.
   std::optional<std::size_t> Rank() const;
 
-  PartStoreReporterDependencies mParts;
+  PartStoreReporterDependencies mDependencies;
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   std::unique_ptr<EngineControl> mStore;
   std::unique_ptr<PartFollower> mFollower;
--- a/packages/coordination/include/shuntjunction/coordination/peer_link.h
+++ b/packages/coordination/include/shuntjunction/coordination/peer_link.h
@@ -19,54 +19,55 @@
 /// A router's connection to one companion.
 namespace shuntjunction::coordination {
 
-/// Shows what passed over a process's channels.
+/// Sets the gauges for the traffic of a process's channels.
 void
 SetChannelGauges(Metrics& aMetrics,
                  const transport::ChannelCounters& aCounters);
 
-/// The link broke: no more messages follow.
+/// The link was closed; no more messages follow.
 struct LinkDown
 {
   std::string mText;
 };
 
-/// The caller went away.
+/// The caller closed its connection.
 struct ClientDisconnected
 {};
 
-/// What can happen to an attempt.
+/// An event of an attempt.
 using AttemptEvent =
   std::variant<protocol::Message, LinkDown, ClientDisconnected>;
 
-/// Where the events of an attempt go.
+/// Receives the events of an attempt.
 using AttemptMailbox = transport::Mailbox<AttemptEvent>;
 
-/// What a link tells its router besides the attempts' messages.
+/// Receives the events of a link that belong to no attempt.
 class LinkListener
 {
 public:
   virtual ~LinkListener() = default;
 
-  /// The companion opened the link or said which configuration it has.
+  /// The companion announced its configuration version, in the handshake or in
+  /// a message.
   virtual void OnPeerVersion(const std::string& aEndpoint,
                              std::uint64_t aVersion) = 0;
-  /// The companion takes no new work.
+  /// The companion accepts no new requests.
   virtual void OnPeerLeaving(const std::string& aEndpoint) = 0;
-  /// The companion takes work: it has answered a new link.
+  /// A new link to the companion is open, so it accepts requests.
   virtual void OnPeerOpen(const std::string& aEndpoint) = 0;
   /// The companion sent its configuration.
   virtual void OnPeerSnapshot(const std::string& aEndpoint,
                               protocol::SnapshotReply aReply) = 0;
-  /// The configuration in force, for the companion that asks for it.
+  /// The current configuration, for a companion that requests it.
   virtual protocol::SnapshotReply Snapshot(
     const protocol::SnapshotRequest& aHave) = 0;
 };
 
-/// Connects on demand, carries many attempts, and closes when idle.
+/// Connects on demand, multiplexes attempts, and closes when idle.
 ///
-/// While attempts are open, a silent companion is probed; one that stays
-/// silent is taken for dead and the link is closed.
-/// Thread safety: none; lives on the traffic thread.
+/// While attempts are open, a silent companion is probed. If it stays silent,
+/// it is considered dead and the link is closed.
+/// Thread safety: none; used on the traffic thread.
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
@@ -79,35 +80,36 @@
            transport::ChannelCounters& aCounters,
            const state::Clock& aClock);
 
-  /// Waits until the link is open.
+  /// Waits until the link is open; connects if necessary.
   transport::Task<state::Result<void>> Ready();
 
-  /// Opens an attempt; its messages go to a mailbox.
+  /// Opens an attempt; its messages are delivered to the mailbox.
   protocol::StreamId Open(std::shared_ptr<AttemptMailbox> aMailbox);
 
-  /// Closes an attempt; its late messages are dropped and counted.
+  /// Closes an attempt; later messages for it are dropped and counted.
   void Close(protocol::StreamId aId);
 
-  /// Sends a message; nothing happens when the link is down.
+  /// Sends a message; does nothing if the link is down.
   void Send(const protocol::Message& aMessage);
 
-  /// A version to put into a message: zero when the companion was told it.
+  /// The version to send with a message; zero if the companion already knows
+  /// it.
   std::uint64_t UnannouncedVersion(std::uint64_t aVersion);
 
-  /// Whether it is open.
+  /// Whether the link is open.
   bool IsOpen() const { return mChannel && mChannel->IsOpen(); }
 
-  /// Closes a link that has been idle for long; called now and then.
+  /// Sends heartbeats and closes a dead or idle link; called periodically.
   void Tick(state::TimePoint aNow);
 
-  /// Messages that belonged to no open attempt.
+  /// Number of dropped messages that belonged to no open attempt.
   std::uint64_t Dropped() const { return mDropped; }
 
 private:
   transport::Task<void> Connect();
   transport::Task<void> Read(std::shared_ptr<transport::FrameChannel> aChannel);
   void Dispatch(protocol::Message aMessage);
-  void Down(std::string_view aWhy);
+  void Disconnect(std::string_view aReason);
 
   boost::asio::io_context& mContext;
   std::string mEndpoint;
@@ -118,12 +120,12 @@
   const state::Clock& mClock;
   std::shared_ptr<transport::FrameChannel> mChannel;
   std::vector<std::shared_ptr<transport::Mailbox<state::Result<void>>>>
-    mWaiting;
+    mWaiters;
   std::unordered_map<protocol::StreamId, std::shared_ptr<AttemptMailbox>>
     mAttempts;
   protocol::StreamId mNextId = 0;
-  state::TimePoint mHeardAt;
-  state::TimePoint mUsedAt;
+  state::TimePoint mLastReceivedAt;
+  state::TimePoint mLastUsedAt;
   std::uint64_t mDropped = 0;
   bool mIsConnecting = false;
 };
--- a/packages/coordination/include/shuntjunction/coordination/platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/platform.h
@@ -11,85 +11,86 @@
 #include "shuntjunction/state/json_reader.h"
 #include "shuntjunction/transport/task.h"
 
-/// What the platform gives: objects, watches, the list of instances.
+/// Interface to the platform: objects, watches and the list of instances.
 namespace shuntjunction::coordination {
 
-/// What another process told with an answer that it gave for the platform.
+/// Freshness of data that another process served in place of the platform.
 struct MirrorFreshness
 {
-  /// All that the platform knew by then is in the answer.
+  /// The data includes every change made in the platform up to this time.
   state::TimePoint mAsOf;
-  std::optional<state::TimePoint> mTroubleAt; ///< when it failed that process
+  /// When a call to the platform last failed in that process.
+  std::optional<state::TimePoint> mTroubleAt;
 };
 
-/// Objects as of a revision of the platform.
+/// Objects as of a platform revision.
 struct ObjectList
 {
   std::uint64_t mRevision = 0;
   std::vector<state::RawObject> mObjects;
-  std::optional<MirrorFreshness>
-    mMirrorFreshness; ///< empty: the platform's own answer
+  /// Empty if the platform itself responded.
+  std::optional<MirrorFreshness> mMirrorFreshness;
 };
 
-/// What a watch brought.
+/// The result of a watch.
 struct WatchResult
 {
   std::uint64_t mRevision = 0;
-  std::vector<state::RawObject> mChanges; ///< deleted ones have no value
-  bool mIsGap = false;                    ///< changes were lost: list again
-  std::optional<MirrorFreshness>
-    mMirrorFreshness; ///< empty: the platform's own answer
+  std::vector<state::RawObject> mChanges; ///< deleted objects have no value
+  bool mIsGap = false;                    ///< changes were lost; list again
+  /// Empty if the platform itself responded.
+  std::optional<MirrorFreshness> mMirrorFreshness;
 };
 
-/// The list of live and leaving instances.
+/// The list of instances, including those that are leaving.
 struct InstanceList
 {
   std::uint64_t mRevision = 0;
   std::vector<state::InstanceInfo> mInstances;
 };
 
-/// An instance as JSON.
+/// Serializes an instance as JSON.
 boost::json::object
 WriteInstance(const state::InstanceInfo& aInstance);
 
-/// The list of instances under the key "instances".
+/// Reads the list of instances under the key "instances".
 std::vector<state::InstanceInfo>
 ReadInstances(state::JsonReader& aReader);
 
-/// What a status that is no success says of a platform call.
+/// Maps an HTTP error status of a platform call to an error code.
 ///
 /// Thread safety: pure.
-/// @return kUnavailable when nothing was done, kConflict when a condition did
-///         not hold, kTimeout when the effect is open
+/// @return kUnavailable if the call had no effect, kConflict if a condition was
+///         not met, kTimeout if the effect is unknown, else kInvalidArgument
 state::ErrorCode
 PlatformErrorOf(unsigned aStatus);
 
-/// The platform's service, behind which whatever is particular to it stays.
+/// The platform's service, independent of its protocol.
 ///
-/// Every method is one call that the platform counts.
+/// Every method makes exactly one call; the platform counts calls.
 /// Thread safety: none; an instance is used on one thread.
-/// Errors: kUnavailable when the call certainly had no effect, kTimeout when
-/// its effect is unknown, kConflict when a condition did not hold.
+/// Errors: kUnavailable if the call certainly had no effect, kTimeout if its
+/// effect is unknown, kConflict if a condition was not met.
 class Platform
 {
 public:
   virtual ~Platform() = default;
 
-  /// All objects whose keys begin with a prefix.
+  /// Lists all objects whose keys begin with a prefix.
   virtual transport::Task<state::Result<ObjectList>> List(
     std::string aPrefix) = 0;
 
-  /// The same from a copy that may be some seconds old, where the platform has
-  /// one that costs less; otherwise as List.
+  /// Lists like List, but from a copy that may be some seconds old if the
+  /// platform has one that is cheaper to read.
   virtual transport::Task<state::Result<ObjectList>> ListCached(
     std::string aPrefix) = 0;
 
-  /// One object; empty when there is none.
+  /// Reads an object; empty if it does not exist.
   virtual transport::Task<state::Result<std::optional<state::RawObject>>> Read(
     std::string aKey) = 0;
 
-  /// Writes an object if its revision is aIfRevision; 0 when it must not
-  /// exist.
+  /// Writes an object if its revision is aIfRevision; with 0, the object must
+  /// not exist.
   ///
   /// @return the object's new revision
   virtual transport::Task<state::Result<std::uint64_t>>
@@ -104,12 +105,12 @@
   virtual transport::Task<state::Result<WatchResult>>
   Watch(std::string aPrefix, std::uint64_t aAfter, state::Millis aWait) = 0;
 
-  /// Waits for a list of instances newer than a revision.
+  /// Waits for a list of instances that is newer than a revision.
   virtual transport::Task<state::Result<InstanceList>> Instances(
     std::uint64_t aAfter,
     state::Millis aWait) = 0;
 
-  /// Ends all calls that wait for their answer: they return kTimeout.
+  /// Aborts all pending calls; they return kTimeout.
   virtual void AbandonCalls() = 0;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/quarantine_writer.h
+++ b/packages/coordination/include/shuntjunction/coordination/quarantine_writer.h
@@ -9,10 +9,10 @@
 #include "shuntjunction/coordination/relay_feed.h"
 #include "shuntjunction/state/clock.h"
 
-/// Keeps in the platform's store which requests are quarantined.
+/// Persists quarantined requests in the platform's store.
 namespace shuntjunction::coordination {
 
-/// What a QuarantineWriter is built from; all parts outlive it.
+/// Dependencies of a QuarantineWriter; all of them outlive it.
 struct QuarantineWriterDependencies
 {
   transport::asio::io_context& mContext;
@@ -22,26 +22,25 @@
   EventLog& mLog;
 };
 
-/// Writes quarantined requests into the store, for relays that start later.
+/// Writes quarantined requests to the store, for relays that start later.
 ///
-/// One write a quarantine, by each relay that saw a crash; a store that is away
-/// is asked again until it took it. Entries that are over are deleted when a
-/// new one is written, so that the store holds no more of them than were alive
-/// at once, and some.
+/// Each relay that saw a crash makes one write per quarantine, and retries
+/// while the store is unavailable. Every write also deletes some expired
+/// entries, so that their number stays close to the peak number of active ones.
 /// Thread safety: none; used on the thread of its context.
 class QuarantineWriter
 {
 public:
-  explicit QuarantineWriter(const QuarantineWriterDependencies& aParts);
+  explicit QuarantineWriter(const QuarantineWriterDependencies& aDependencies);
   ~QuarantineWriter();
   QuarantineWriter(const QuarantineWriter&) = delete;
   QuarantineWriter& operator=(const QuarantineWriter&) = delete;
 
-  /// Keeps that a request is refused for a time from now on.
+  /// Starts writing that a request is quarantined for a time from now on.
   void StoreQuarantine(const state::RequestDigest& aRequest,
-                       state::Millis aFor);
+                       state::Millis aDuration);
 
-  /// Takes what the store holds.
+  /// Sets a newer view, from which expired entries are found.
   void ApplyView(std::shared_ptr<const RelayView> aView);
 
 private:
--- a/packages/coordination/include/shuntjunction/coordination/router.h
+++ b/packages/coordination/include/shuntjunction/coordination/router.h
@@ -20,10 +20,10 @@
 #include "shuntjunction/state/team_limiter.h"
 #include "shuntjunction/transport/http_server.h"
 
-/// The entry instance: callers' requests in, answers out.
+/// The router: serves callers' requests by forwarding them to endpoints.
 namespace shuntjunction::coordination {
 
-/// How an endpoint was ranked for a prompt, for operators.
+/// How an endpoint was rated for a prompt; for operators.
 struct Explanation
 {
   std::string mEndpoint;
@@ -37,9 +37,9 @@
   std::int64_t mCostMicros = 0;
 };
 
-/// Authenticates, limits, places, carries and answers requests.
+/// Authenticates, rate-limits and routes requests, and streams their responses.
 ///
-/// Thread safety: none; lives on the traffic thread.
+/// Thread safety: none; used on the traffic thread.
 class Router final
   : public transport::HttpHandler
   , public LinkListener
@@ -55,22 +55,22 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  /// Starts the timer that looks after links.
+  /// Starts the periodic maintenance of links.
   void Start();
 
-  /// Takes a configuration and a list of instances that came into force.
+  /// Applies a new configuration and list of instances.
   void ApplyConfig(PublishedConfig aConfig);
 
-  /// Whether a configuration and an endpoint are known.
+  /// Whether a configuration and at least one endpoint are known.
   bool IsReady() const;
 
-  /// Requests that are being answered.
+  /// Number of requests in progress.
   std::size_t Active() const { return mActive; }
 
-  /// Brings the gauges up to date.
+  /// Updates the gauges.
   void UpdateGauges();
 
-  /// Asks the candidates for a call and says which would be chosen and why.
+  /// Probes the candidates for a request and reports how each was rated.
   transport::Task<state::Result<std::vector<Explanation>>>
   Explain(std::string aTeam, state::RequestKind aKind, std::string aBody);
 
@@ -80,7 +80,7 @@
 
 private:
   friend class RequestRun;
-  struct Probed;
+  struct ProbeResult;
   struct ProbeRound;
 
   void OnPeerVersion(const std::string& aEndpoint,
@@ -97,14 +97,14 @@
   transport::Task<void> SendProbe(std::shared_ptr<ProbeRound> aRound,
                                   std::size_t aIndex,
                                   protocol::Probe aProbe);
-  transport::Task<std::vector<Probed>> ProbeAll(
+  transport::Task<std::vector<ProbeResult>> ProbeAll(
     state::ChoiceQuery aQuery,
     state::Priority aPriority,
     std::vector<state::EndpointHandle> aCandidates);
-  std::int64_t CostMicros(const Probed& aProbed,
+  std::int64_t CostMicros(const ProbeResult& aProbed,
                           const state::ChoiceQuery& aQuery) const;
-  std::optional<Probed> Cheapest(const std::vector<Probed>& aProbed,
-                                 const state::ChoiceQuery& aQuery) const;
+  std::optional<ProbeResult> Cheapest(const std::vector<ProbeResult>& aProbed,
+                                      const state::ChoiceQuery& aQuery) const;
   transport::Task<state::EndpointHandle> Choose(
     state::ChoiceQuery aQuery,
     state::Priority aPriority,
@@ -126,7 +126,7 @@
   state::RetryBudget mRetries;
   transport::ChannelCounters mChannelCounters;
   std::unordered_map<std::string, std::shared_ptr<PeerLink>> mLinks;
-  std::uint64_t mHeardVersion = 0;
+  std::uint64_t mNewestPeerVersion = 0;
   std::size_t mActive = 0;
 };
 
--- a/packages/coordination/include/shuntjunction/coordination/snapshot_client.h
+++ b/packages/coordination/include/shuntjunction/coordination/snapshot_client.h
@@ -8,34 +8,34 @@
 #include "shuntjunction/protocol/messages.h"
 #include "shuntjunction/transport/frame_channel.h"
 
-/// Asks peers for newer configuration.
+/// Requests newer configuration snapshots from peers.
 namespace shuntjunction::coordination {
 
-/// Connections that are kept between two questions, at most.
-inline constexpr std::size_t kMaxKeptPeers = 8;
+/// Maximum number of connections that are kept open between requests.
+inline constexpr std::size_t kMaxOpenChannels = 8;
 
-/// Asks companions for their snapshots, over connections that stay open.
+/// Requests snapshots from peers over persistent connections.
 ///
-/// Thread safety: none; lives on the control thread.
+/// Thread safety: none; used on the control thread.
 class SnapshotClient
 {
 public:
-  /// @param aTimeout  of connecting, and of an answer
+  /// @param aTimeout  for connecting, and for each response
   SnapshotClient(boost::asio::io_context& aContext,
                  std::string aName,
                  std::string aSecret,
                  state::Millis aTimeout = state::Millis(1000));
 
-  /// Asks one peer for what is newer.
+  /// Requests a newer snapshot from a peer.
   ///
-  /// @param aAddress  "host:port" of its frames
-  /// @return without text when the peer has nothing newer; an error when it
-  ///         cannot be reached or is silent
+  /// @param aAddress  "host:port" of the peer's frame protocol
+  /// @return a reply without text if the peer has nothing newer; an error if it
+  ///         cannot be reached or does not respond
   transport::Task<state::Result<protocol::SnapshotReply>> Ask(
     std::string aAddress,
     protocol::SnapshotRequest aHave);
 
-  /// Bytes that went over its connections.
+  /// Traffic counters of all connections.
   const transport::ChannelCounters& Counters() const { return mCounters; }
 
 private:
@@ -49,7 +49,7 @@
   std::string mSecret;
   state::Millis mTimeout;
   transport::ChannelCounters mCounters;
-  std::unordered_map<std::string, ChannelPtr> mKept;
+  std::unordered_map<std::string, ChannelPtr> mChannels;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/snapshot_server.h
+++ b/packages/coordination/include/shuntjunction/coordination/snapshot_server.h
@@ -7,25 +7,25 @@
 #include "shuntjunction/protocol/messages.h"
 #include "shuntjunction/transport/frame_channel.h"
 
-/// Answers processes that ask this one instead of the platform.
+/// Serves snapshots to processes that query this one instead of the platform.
 namespace shuntjunction::coordination {
 
-/// Accepts channels and answers each question on them.
+/// Accepts channels and responds to each request on them.
 ///
 /// Thread safety: none; used on the thread of its context.
 class SnapshotServer
 {
 public:
-  using Answerer =
+  using RequestHandler =
     std::function<protocol::SnapshotReply(const protocol::SnapshotRequest&)>;
 
   /// @param aLog  outlives the server
   SnapshotServer(transport::asio::io_context& aContext,
                  transport::ChannelIdentity aIdentity,
                  EventLog& aLog,
-                 Answerer aAnswer);
+                 RequestHandler aHandler);
 
-  /// Begins to accept; returns the address with the kernel's port.
+  /// Starts accepting; returns the address with the port that was assigned.
   state::Result<state::Address> Start(const state::Address& aAddress);
 
 private:
--- a/packages/coordination/include/shuntjunction/coordination/status_writer.h
+++ b/packages/coordination/include/shuntjunction/coordination/status_writer.h
@@ -6,18 +6,17 @@
 #include "shuntjunction/coordination/platform.h"
 #include "shuntjunction/state/clock.h"
 
-/// Tells operators, through the platform, what a process has in force.
+/// Publishes a process's status in the platform, for operators.
 namespace shuntjunction::coordination {
 
-/// Platform prefix of status objects.
+/// Key prefix of status objects in the platform.
 inline constexpr std::string_view kStatusPrefix = "status/";
 
-/// Writes the process's status object, seldom and spread over time.
+/// Writes the process's status object when it has changed.
 ///
-/// A change is written after a random pause, so that a change of configuration
-/// does not bring the writes of all processes at once; only the newest text is
-/// written.
-/// Thread safety: none; lives on the control thread.
+/// Each write is delayed by a random pause, so that a configuration change does
+/// not cause all processes to write at once. Only the newest text is written.
+/// Thread safety: none; used on the control thread.
 class StatusWriter
 {
 public:
@@ -26,20 +25,20 @@
                Platform& aPlatform,
                const std::string& aName);
 
-  /// Starts to write; runs until the context stops.
+  /// Starts writing; runs until the context stops.
   void Start();
 
-  /// Sets the text to be written.
+  /// Sets the text to write.
   void Set(std::string aText);
 
 private:
-  transport::Task<void> Follow();
+  transport::Task<void> RunLoop();
   transport::Task<bool> WriteOnce(std::string aText);
 
   boost::asio::io_context& mContext;
   Platform& mPlatform;
   std::string mKey;
-  std::string mWanted;
+  std::string mLatest;
   std::string mWritten;
   std::uint64_t mRevision = 0;
   state::RandomSource mRandom;
--- a/packages/coordination/include/shuntjunction/coordination/throttled_engine_control.h
+++ b/packages/coordination/include/shuntjunction/coordination/throttled_engine_control.h
@@ -8,10 +8,11 @@
 
 namespace shuntjunction::coordination {
 
-/// Control calls that keep to the cooldowns which their engine asks for.
+/// Decorator that delays control calls during cooldowns requested by the
+/// engine.
 ///
-/// A call that comes during one waits for its end. A drain does not hold calls
-/// back: reports and orders go on until the engine has ended.
+/// A call made during a cooldown waits until it ends. Calls are not delayed
+/// while the engine drains: reports and orders continue until it has stopped.
 /// Thread safety: none; used on one thread.
 class ThrottledEngineControl final : public EngineControl
 {
@@ -21,7 +22,7 @@
                          const state::Clock& aClock,
                          EventLog& aLog);
 
-  void SetNoticeHandler(NoticeHandler aTake) override;
+  void SetNoticeHandler(NoticeHandler aHandler) override;
   transport::Task<state::Result<EngineReport>> Report() override;
   transport::Task<state::Result<PartChanges>> Changes(
     std::uint64_t aSince,
@@ -29,14 +30,14 @@
   transport::Task<state::Result<OrderOutcome>> Order(LoadOrder aOrder) override;
 
 private:
-  void Take(const state::EndpointNotice& aNotice);
+  void HandleNotice(const state::EndpointNotice& aNotice);
   transport::Task<void> AwaitCooldownEnd();
 
   std::unique_ptr<EngineControl> mEngine;
   const state::Clock& mClock;
   EventLog& mLog;
   state::EndpointAvailability mAvailability;
-  NoticeHandler mTake;
+  NoticeHandler mNoticeHandler;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/weights_controller.h
+++ b/packages/coordination/include/shuntjunction/coordination/weights_controller.h
@@ -11,10 +11,10 @@
 #include "shuntjunction/coordination/relay_feed.h"
 #include "shuntjunction/coordination/relay_settings.h"
 
-/// Brings the engine beside a companion to the weights that were named.
+/// Updates a companion's engine to the named weights version.
 namespace shuntjunction::coordination {
 
-/// What a WeightsController is built from; all parts outlive it.
+/// Dependencies of a WeightsController; all of them outlive it.
 struct WeightsControllerDependencies
 {
   transport::asio::io_context& mContext;
@@ -27,55 +27,57 @@
   EventLog& mLog;
 };
 
-/// Orders one engine, alone: only the process beside an engine does.
+/// Sends load orders to one engine; only the engine's own companion does so.
 ///
-/// Fencing numbers start from the revision of an object that each life of the
-/// process writes first, so that they never fall although nothing is kept.
+/// Fencing tokens are derived from the revision of an object that the process
+/// writes when it starts, so that they increase across restarts without local
+/// storage.
 /// Thread safety: none; used on the thread of its context.
 class WeightsController
 {
 public:
-  explicit WeightsController(const WeightsControllerDependencies& aParts);
+  explicit WeightsController(
+    const WeightsControllerDependencies& aDependencies);
   WeightsController(const WeightsController&) = delete;
   WeightsController& operator=(const WeightsController&) = delete;
 
-  /// Begins to keep the engine's weights.
+  /// Starts updating the engine; runs until the context stops.
   void Start();
 
-  /// Takes a newer view of the platform's objects.
+  /// Sets a newer view of the platform's objects.
   void ApplyView(std::shared_ptr<const RelayView> aView);
 
-  /// Takes what the engine just said of itself.
+  /// Sets the engine's newest report.
   void ApplyReport(const EngineReport& aReport);
 
 private:
-  /// What the engine is to load, and when.
+  /// The weights that the engine is to load, and when.
   struct Task
   {
     std::string mEndpointId;
     state::LatestWeights mWeights;
-    state::TimePoint mFrom;
+    state::TimePoint mStartAt;
   };
 
   transport::Task<void> Run();
-  transport::Task<void> TakeFence();
-  void Tell(protocol::EnginePhase aPhase);
+  transport::Task<void> AcquireFence();
+  void ReportPhase(protocol::EnginePhase aPhase);
   std::optional<Task> NextTask() const;
   const state::EndpointInfo* OwnEndpoint() const;
-  /// The newest of what the list and the engine itself said.
+  /// The newest version known from the endpoint list and the engine's report.
   std::uint64_t KnownVersion(const state::EndpointInfo& aOwn,
                              const state::LoadedModel& aListed) const;
-  transport::Task<void> Carry(Task aTask);
+  transport::Task<void> CarryOut(Task aTask);
   transport::Task<void> WaitFor(state::Millis aTime);
 
-  WeightsControllerDependencies mParts;
+  WeightsControllerDependencies mDependencies;
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   transport::Timer mWake;
   std::uint64_t mFence = 0;
-  /// What the engine reported last; its listed entry lags behind, or is of a
-  /// former life.
+  /// The engine's last report; its entry in the endpoint list lags behind or
+  /// may be from before a restart.
   std::optional<EngineReport> mReport;
-  std::string mReportedBy; ///< id of the engine then
+  std::string mReportEndpointId; ///< endpoint id at the time of the report
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/zone_mirror.h
+++ b/packages/coordination/include/shuntjunction/coordination/zone_mirror.h
@@ -7,55 +7,56 @@
 #include "shuntjunction/coordination/snapshot_server.h"
 #include "shuntjunction/coordination/mirrored_platform.h"
 
-/// How a process of a zone and the zone's watchers tell each other of the
-/// store.
+/// Mirroring of the platform's store within an availability zone.
 namespace shuntjunction::coordination {
 
-/// What a process's settings say of it.
+/// Derives the settings of a MirroredPlatform from those of the process.
 ///
 /// Thread safety: pure.
 MirroredPlatformSettings
 MakeMirroredPlatformSettings(const FleetSettings& aSettings,
                              const StoreCodec& aCodec);
 
-/// A process's end: the store as its watchers tell it, and answers to those who
-/// ask this process.
+/// Both sides of the mirroring: reads the store through the zone's watchers,
+/// and serves other processes if this process is a watcher.
 ///
 /// Thread safety: none; used on the thread of its context.
 class ZoneMirror
 {
 public:
-  /// @param aStore  outlives this, as do clock and log
+  /// @param aStore, aClock, aLog  outlive this
   ZoneMirror(transport::asio::io_context& aContext,
              const MirroredPlatformSettings& aSettings,
              Platform& aStore,
              const state::Clock& aClock,
              EventLog& aLog);
 
-  /// The store, by a watcher or itself; for all that this process reads there.
+  /// The store, read through a watcher or directly; used for all access of this
+  /// process.
   MirroredPlatform& Store() { return mPlatform; }
 
-  /// Where this process's feed tells what the store holds.
+  /// The mirror that this process's feed fills.
   state::ObjectMirror& Mirror() { return mMirror; }
 
-  /// Begins to ask watchers, once any are known.
+  /// Starts querying watchers, once any are known.
   void Start();
 
-  /// Begins to answer processes that ask this one; its feed then follows the
-  /// store for them too.
+  /// Starts serving requests of other processes; while there are any, the feed
+  /// follows the store for them too.
   ///
-  /// @param aFeed  outlives this; fed from Store, and feeds Mirror
-  /// @return the address with the kernel's port
+  /// @param aFeed  outlives this; reads from Store and fills Mirror
+  /// @return the address with the port that was assigned
   state::Result<state::Address> Serve(const state::Address& aAddress,
                                       RelayFeed& aFeed);
 
-  /// Takes the endpoints from which the watchers are known.
+  /// Sets the endpoints, from which the zone's watchers are derived.
   void ApplyEndpoints(const std::vector<state::EndpointInfo>& aEndpoints);
 
 private:
-  protocol::SnapshotReply Answer(RelayFeed& aFeed,
-                                 const protocol::SnapshotRequest& aRequest);
-  transport::Task<void> EndWhenNobodyAsks(RelayFeed* aFeed);
+  protocol::SnapshotReply HandleRequest(
+    RelayFeed& aFeed,
+    const protocol::SnapshotRequest& aRequest);
+  transport::Task<void> StopWatchingWhenIdle(RelayFeed* aFeed);
 
   transport::asio::io_context& mContext;
   transport::ChannelIdentity mIdentity;
--- a/packages/coordination/src/admin.cpp
+++ b/packages/coordination/src/admin.cpp
@@ -18,7 +18,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 
 HttpResponse
-Plain(unsigned aStatus, std::string_view aText)
+PlainResponse(unsigned aStatus, std::string_view aText)
 {
   HttpResponse response;
   response.mStatus = aStatus;
@@ -28,7 +28,7 @@
 }
 
 HttpResponse
-Json(std::string aText)
+JsonResponse(std::string aText)
 {
   HttpResponse response;
   response.mBody = std::move(aText);
@@ -37,89 +37,91 @@
 
 } // namespace
 
-Admin::Admin(AdminDependencies aParts)
-  : mParts(std::move(aParts))
+Admin::Admin(AdminDependencies aDependencies)
+  : mDependencies(std::move(aDependencies))
 {
 }
 
 HttpResponse
 Admin::Refusal(unsigned aStatus, std::string_view aText)
 {
-  return Plain(aStatus, aText);
+  return PlainResponse(aStatus, aText);
 }
 
 bool
 Admin::IsReady() const
 {
-  if (mParts.mIsStopping()) {
+  if (mDependencies.mIsStopping()) {
     return false;
   }
-  return mParts.mRouter != nullptr ? mParts.mRouter->IsReady()
-                                   : mParts.mCompanion->IsReady();
+  return mDependencies.mRouter != nullptr ? mDependencies.mRouter->IsReady()
+                                          : mDependencies.mCompanion->IsReady();
 }
 
 Task<void>
 Admin::Handle(HttpExchange& aExchange)
 {
-  auto response = co_await Answer(aExchange.Request());
+  auto response = co_await Route(aExchange.Request());
   co_await aExchange.Respond(std::move(response));
 }
 
 Task<HttpResponse>
-Admin::Answer(const HttpRequest& aRequest)
+Admin::Route(const HttpRequest& aRequest)
 {
   const std::string_view path = aRequest.Path();
   if (path == "/healthz") {
-    co_return Plain(200, "ok");
+    co_return PlainResponse(200, "ok");
   }
   if (path == "/readyz") {
     const bool isReady = IsReady();
-    co_return Plain(isReady ? 200 : 503, isReady ? "ready" : "not ready");
+    co_return PlainResponse(isReady ? 200 : 503,
+                            isReady ? "ready" : "not ready");
   }
   if (path == "/metrics") {
-    if (mParts.mRouter != nullptr) {
-      mParts.mRouter->UpdateGauges();
+    if (mDependencies.mRouter != nullptr) {
+      mDependencies.mRouter->UpdateGauges();
     } else {
-      mParts.mCompanion->UpdateGauges();
+      mDependencies.mCompanion->UpdateGauges();
     }
-    HttpResponse response = Plain(200, mParts.mMetrics.Expose());
+    HttpResponse response = PlainResponse(200, mDependencies.mMetrics.Expose());
     response.mContentType = "text/plain; version=0.0.4";
     co_return response;
   }
   const auto field = aRequest.Field("authorization");
-  const bool isKnown =
+  const bool isAuthorized =
     field.starts_with(kBearer) &&
     state::EqualDigests(state::Sha256Hex(field.substr(kBearer.size())),
-                        state::Sha256Hex(mParts.mSettings.mSecret));
-  if (!isKnown) {
-    co_return Plain(401, "the shared secret is required as a bearer key");
+                        state::Sha256Hex(mDependencies.mSettings.mSecret));
+  if (!isAuthorized) {
+    co_return PlainResponse(401,
+                            "the shared secret is required as a bearer key");
   }
   if (path == "/status" && aRequest.mMethod == "GET") {
-    co_return Json(mParts.mStatus());
+    co_return JsonResponse(mDependencies.mStatus());
   }
   if (path == "/drain" && aRequest.mMethod == "POST") {
-    mParts.mStop();
-    co_return Plain(202, "draining");
+    mDependencies.mStop();
+    co_return PlainResponse(202, "draining");
   }
   if (path == "/explain" && aRequest.mMethod == "POST" &&
-      mParts.mRouter != nullptr) {
-    auto response = co_await AnswerExplain(aRequest);
+      mDependencies.mRouter != nullptr) {
+    auto response = co_await HandleExplain(aRequest);
     co_return response;
   }
-  co_return Plain(404, "no such path or method");
+  co_return PlainResponse(404, "no such path or method");
 }
 
 Task<HttpResponse>
-Admin::AnswerExplain(const HttpRequest& aRequest)
+Admin::HandleExplain(const HttpRequest& aRequest)
 {
   const auto kind = aRequest.Query("kind") == "completion"
                       ? state::RequestKind::kCompletion
                       : state::RequestKind::kChat;
   const std::string team = aRequest.Query("team");
   const auto rows =
-    co_await mParts.mRouter->Explain(team, kind, aRequest.mBody);
+    co_await mDependencies.mRouter->Explain(team, kind, aRequest.mBody);
   if (!rows) {
-    co_return Plain(400, rows.error().Describe());
+    co_return PlainResponse(400, rows.error().Describe());
   }
   json::array list;
   for (const auto& row : *rows) {
@@ -133,7 +135,7 @@
                                  { "waitMicros", row.mWaitMicros },
                                  { "costMicros", row.mCostMicros } });
   }
-  co_return Json(
+  co_return JsonResponse(
     json::serialize(json::object{ { "endpoints", std::move(list) } }));
 }
 
--- a/packages/coordination/src/backend_engine.cpp
+++ b/packages/coordination/src/backend_engine.cpp
@@ -1,5 +1,5 @@
-// A model engine over HTTP: completions as server-sent events, its state, its
-// cache events and its orders as JSON.
+// Backend for a model engine over HTTP: completions as server-sent events;
+// state, cache events and orders as JSON.
 
 #include <charconv>
 
@@ -31,14 +31,15 @@
 constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kDone = "[DONE]";
 
-/// Engine priorities: a lower number goes first.
+/// Distance between the engine priorities of two classes; lower numbers run
+/// first.
 constexpr int kPriorityStep = 10;
 
-/// Loading weights takes a while; the engine answers when it is done.
+/// Long, since the engine responds only when the weights are loaded.
 constexpr Millis kOrderTimeout{ 60000 };
 
 std::string
-BlockName(state::PrefixHash aHash)
+FormatBlockHash(state::PrefixHash aHash)
 {
   std::array<char, 16> digits{};
   const auto [end, error] =
@@ -47,7 +48,7 @@
 }
 
 state::PrefixHash
-ReadBlockName(const std::string& aName)
+ParseBlockHash(const std::string& aName)
 {
   state::PrefixHash hash = 0;
   std::from_chars(aName.data(), aName.data() + aName.size(), hash, 16);
@@ -55,14 +56,14 @@
 }
 
 std::uint64_t
-NumberOf(const std::string& aText)
+ParseNumber(const std::string& aText)
 {
   std::uint64_t number = 0;
   std::from_chars(aText.data(), aText.data() + aText.size(), number);
   return number;
 }
 
-/// The caller's body with what the engine needs besides.
+/// The caller's request body with the fields that the engine needs in addition.
 std::string
 EngineBody(const BackendCall& aCall)
 {
@@ -77,7 +78,7 @@
   json::array blocks;
   blocks.reserve(aCall.mChain.size());
   for (const auto hash : aCall.mChain) {
-    blocks.emplace_back(BlockName(hash));
+    blocks.emplace_back(FormatBlockHash(hash));
   }
   body["block_ids"] = std::move(blocks);
   if (submit.mResumeOffset > 0) {
@@ -87,22 +88,22 @@
   return json::serialize(body);
 }
 
-/// Reads one answer's events.
-class EngineAnswer final : public BackendResponse
+/// Reads the events of one response stream.
+class EngineResponse final : public BackendResponse
 {
 public:
-  EngineAnswer(std::unique_ptr<HttpStream> aStream,
-               std::uint32_t aOffset,
-               std::string aPeer)
+  EngineResponse(std::unique_ptr<HttpStream> aStream,
+                 std::uint32_t aOffset,
+                 std::string aPeer)
     : mStream(std::move(aStream))
     , mPeer(std::move(aPeer))
     , mNextOffset(aOffset)
   {
-    mIncarnation = NumberOf(mStream->Field("x-engine-incarnation"));
-    mWeights =
-      static_cast<std::uint32_t>(NumberOf(mStream->Field("x-weights-version")));
-    mCachedBlocks =
-      static_cast<std::uint32_t>(NumberOf(mStream->Field("x-cached-blocks")));
+    mIncarnation = ParseNumber(mStream->Field("x-engine-incarnation"));
+    mWeights = static_cast<std::uint32_t>(
+      ParseNumber(mStream->Field("x-weights-version")));
+    mCachedBlocks = static_cast<std::uint32_t>(
+      ParseNumber(mStream->Field("x-cached-blocks")));
   }
 
   state::Incarnation CurrentIncarnation() const override
@@ -115,30 +116,30 @@
   Task<Result<BackendEvent>> Next(Millis aTimeout) override
   {
     while (true) {
-      const std::size_t end = mText.find(kEventEnd, mAt);
+      const std::size_t end = mText.find(kEventEnd, mReadOffset);
       if (end == std::string::npos) {
-        mText.erase(0, mAt);
-        mAt = 0;
+        mText.erase(0, mReadOffset);
+        mReadOffset = 0;
         auto piece = co_await mStream->Read(aTimeout);
         if (!piece) {
           co_return tl::unexpected(piece.error());
         }
         if (piece->empty()) {
-          co_return Cut("the stream ended without its end mark");
+          co_return Interrupted("the stream ended without its end mark");
         }
         mText += *piece;
         continue;
       }
       const std::string_view event =
-        std::string_view(mText).substr(mAt, end - mAt);
-      mAt = end + kEventEnd.size();
+        std::string_view(mText).substr(mReadOffset, end - mReadOffset);
+      mReadOffset = end + kEventEnd.size();
       if (!event.starts_with(kData)) {
         continue;
       }
       const std::string_view data = event.substr(kData.size());
       if (data == kDone) {
         if (mEnd.mFinishReason.empty()) {
-          co_return Cut("the stream ended without a finish reason");
+          co_return Interrupted("the stream ended without a finish reason");
         }
         mEnd.mTotalTokens = mNextOffset;
         co_return BackendEvent(mEnd);
@@ -154,21 +155,21 @@
   }
 
 private:
-  tl::unexpected<state::Error> Cut(std::string_view aWhy) const
+  tl::unexpected<state::Error> Interrupted(std::string_view aReason) const
   {
-    return Fail(ErrorCode::kProtocol, "engine.stream", mPeer, aWhy);
+    return Fail(ErrorCode::kProtocol, "engine.stream", mPeer, aReason);
   }
 
-  /// Takes one chunk in; no tokens when it carries none.
+  /// Parses a chunk; the token count is 0 if it contains none.
   Result<BackendTokens> ReadChunk(std::string_view aData)
   {
     const auto value = state::ParseJson(aData, "chunk");
     const auto* chunk = value ? value->if_object() : nullptr;
     if (chunk == nullptr) {
-      return Cut("a chunk is not a JSON object");
+      return Interrupted("a chunk is not a JSON object");
     }
     if (chunk->contains("error")) {
-      return Cut("the engine reported an error");
+      return Interrupted("the engine reported an error");
     }
     ReadUsage(*chunk);
     BackendTokens tokens;
@@ -179,7 +180,7 @@
     }
     const auto* choice = choices->as_array().front().if_object();
     if (choice == nullptr) {
-      return Cut("a choice is not a JSON object");
+      return Interrupted("a choice is not a JSON object");
     }
     const auto* reason = choice->if_contains("finish_reason");
     if (reason != nullptr && reason->is_string()) {
@@ -228,7 +229,7 @@
   std::uint32_t mCachedBlocks = 0;
   std::uint32_t mNextOffset;
   std::string mText;
-  std::size_t mAt = 0;
+  std::size_t mReadOffset = 0;
   BackendEnd mEnd;
 };
 
@@ -237,8 +238,8 @@
 public:
   EngineBackend(const state::Address& aAddress,
                 const state::CompanionSettings& aSettings,
-                std::size_t aMaxAnswerBytes)
-    : mClient(aAddress, aMaxAnswerBytes)
+                std::size_t aMaxResponseBytes)
+    : mClient(aAddress, aMaxResponseBytes)
     , mTimeout(aSettings.mBackendTimeout)
   {
   }
@@ -266,16 +267,18 @@
     }
     if ((*stream)->Status() != kOk) {
       const std::string status = std::to_string((*stream)->Status());
-      // A client error or an overload is said before anything is run.
+      // The engine reports a client error or an overload before it runs
+      // anything.
       const bool isRefused = (*stream)->Status() < 500 || status == "503";
       const auto code =
         isRefused ? ErrorCode::kUnavailable : ErrorCode::kTimeout;
       co_return Fail(
         code, "engine.open", mClient.Peer().Text(), "status " + status);
     }
-    std::unique_ptr<BackendResponse> answer = std::make_unique<EngineAnswer>(
-      std::move(*stream), aCall.mSubmit.mResumeOffset, mClient.Peer().Text());
-    co_return answer;
+    std::unique_ptr<BackendResponse> response =
+      std::make_unique<EngineResponse>(
+        std::move(*stream), aCall.mSubmit.mResumeOffset, mClient.Peer().Text());
+    co_return response;
   }
 
   Task<Result<BackendState>> State() override
@@ -298,7 +301,7 @@
       "role", state::kEngineRoleNames, std::optional(state::EngineRole::kBoth));
     found.mFence =
       static_cast<std::uint64_t>(reader.Integer("fence", 0, INT64_MAX, 0));
-    // Known, but of no use here.
+    // Known fields that are not used here.
     reader.Find("running");
     reader.Find("waiting");
     if (const auto done = reader.Finish(); !done) {
@@ -369,7 +372,7 @@
     state::CacheEvent event;
     event.mSequence =
       static_cast<std::uint64_t>(reader.Integer("seq", 1, INT64_MAX));
-    event.mBlock = ReadBlockName(reader.Text("block", ""));
+    event.mBlock = ParseBlockHash(reader.Text("block", ""));
     const std::string kind = reader.Text("kind");
     if (kind == "stored") {
       event.mKind = state::CacheEventKind::kStored;
@@ -387,20 +390,21 @@
                                   Millis aTimeout)
   {
     const std::string peer = mClient.Peer().Text();
-    const auto answer = co_await mClient.Send(std::move(aRequest), aTimeout);
-    if (!answer) {
-      co_return tl::unexpected(answer.error());
+    const auto response = co_await mClient.Send(std::move(aRequest), aTimeout);
+    if (!response) {
+      co_return tl::unexpected(response.error());
     }
-    if (answer->mStatus != kOk) {
-      const auto code = answer->mStatus == kConflict ? ErrorCode::kConflict
-                                                     : ErrorCode::kUnavailable;
+    if (response->mStatus != kOk) {
+      const auto code = response->mStatus == kConflict
+                          ? ErrorCode::kConflict
+                          : ErrorCode::kUnavailable;
       co_return Fail(code,
                      aStep,
                      peer,
-                     "status " + std::to_string(answer->mStatus) + ": " +
-                       answer->mBody);
+                     "status " + std::to_string(response->mStatus) + ": " +
+                       response->mBody);
     }
-    co_return state::ParseJson(answer->mBody, aStep);
+    co_return state::ParseJson(response->mBody, aStep);
   }
 
   transport::HttpClient mClient;
@@ -412,9 +416,10 @@
 std::unique_ptr<Backend>
 MakeEngineBackend(const state::Address& aAddress,
                   const state::CompanionSettings& aSettings,
-                  std::size_t aMaxAnswerBytes)
+                  std::size_t aMaxResponseBytes)
 {
-  return std::make_unique<EngineBackend>(aAddress, aSettings, aMaxAnswerBytes);
+  return std::make_unique<EngineBackend>(
+    aAddress, aSettings, aMaxResponseBytes);
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/backend_service.cpp
+++ b/packages/coordination/src/backend_service.cpp
@@ -1,4 +1,4 @@
-// A plain service over HTTP: calls are passed on as they came.
+// Backend for a plain HTTP service: requests are forwarded unchanged.
 
 #include "shuntjunction/coordination/backend.h"
 #include "shuntjunction/state/settings.h"
@@ -18,13 +18,13 @@
 
 constexpr std::string_view kHealthTarget = "/healthz";
 
-/// Reads a service's whole answer.
-class ServiceAnswer final : public BackendResponse
+/// Reads a service's complete response.
+class ServiceResponse final : public BackendResponse
 {
 public:
-  ServiceAnswer(std::unique_ptr<HttpStream> aStream,
-                std::string aPeer,
-                std::size_t aMaxBytes)
+  ServiceResponse(std::unique_ptr<HttpStream> aStream,
+                  std::string aPeer,
+                  std::size_t aMaxBytes)
     : mStream(std::move(aStream))
     , mPeer(std::move(aPeer))
     , mMaxBytes(aMaxBytes)
@@ -67,9 +67,9 @@
 public:
   ServiceBackend(const state::Address& aAddress,
                  const state::CompanionSettings& aSettings,
-                 std::size_t aMaxAnswerBytes)
-    : mClient(aAddress, aMaxAnswerBytes)
-    , mMaxAnswerBytes(aMaxAnswerBytes)
+                 std::size_t aMaxResponseBytes)
+    : mClient(aAddress, aMaxResponseBytes)
+    , mMaxResponseBytes(aMaxResponseBytes)
     , mTimeout(aSettings.mBackendTimeout)
   {
   }
@@ -98,18 +98,19 @@
     if (!stream) {
       co_return tl::unexpected(stream.error());
     }
-    std::unique_ptr<BackendResponse> answer = std::make_unique<ServiceAnswer>(
-      std::move(*stream), mClient.Peer().Text(), mMaxAnswerBytes);
-    co_return answer;
+    std::unique_ptr<BackendResponse> response =
+      std::make_unique<ServiceResponse>(
+        std::move(*stream), mClient.Peer().Text(), mMaxResponseBytes);
+    co_return response;
   }
 
   Task<Result<BackendState>> State() override
   {
     HttpRequest request;
     request.mTarget = kHealthTarget;
-    const auto answer = co_await mClient.Send(std::move(request), mTimeout);
-    if (!answer) {
-      co_return tl::unexpected(answer.error());
+    const auto response = co_await mClient.Send(std::move(request), mTimeout);
+    if (!response) {
+      co_return tl::unexpected(response.error());
     }
     co_return BackendState{ .mIncarnation = 1 };
   }
@@ -131,7 +132,7 @@
 
 private:
   transport::HttpClient mClient;
-  std::size_t mMaxAnswerBytes;
+  std::size_t mMaxResponseBytes;
   Millis mTimeout;
 };
 
@@ -140,9 +141,10 @@
 std::unique_ptr<Backend>
 MakeServiceBackend(const state::Address& aAddress,
                    const state::CompanionSettings& aSettings,
-                   std::size_t aMaxAnswerBytes)
+                   std::size_t aMaxResponseBytes)
 {
-  return std::make_unique<ServiceBackend>(aAddress, aSettings, aMaxAnswerBytes);
+  return std::make_unique<ServiceBackend>(
+    aAddress, aSettings, aMaxResponseBytes);
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/chat_api.cpp
+++ b/packages/coordination/src/chat_api.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Urgencies of RFC 9218 up to which a request is urgent and priority.
+/// Highest urgency values (RFC 9218) of the classes urgent and priority.
 constexpr char kLastUrgent = '1';
 constexpr char kLastPriority = '2';
 
@@ -41,16 +41,16 @@
 }
 
 json::object
-Envelope(const ResponseMetadata& aHead, bool aIsChunk)
+Envelope(const ResponseMetadata& aMetadata, bool aIsChunk)
 {
   std::string object = "text_completion";
-  if (IsChat(aHead.mKind)) {
+  if (IsChat(aMetadata.mKind)) {
     object = aIsChunk ? "chat.completion.chunk" : "chat.completion";
   }
-  return { { "id", aHead.mId },
+  return { { "id", aMetadata.mId },
            { "object", object },
-           { "created", aHead.mCreated },
-           { "model", aHead.mModel } };
+           { "created", aMetadata.mCreated },
+           { "model", aMetadata.mModel } };
 }
 
 json::object
@@ -176,12 +176,12 @@
 }
 
 std::string
-WriteChunk(const ResponseMetadata& aHead,
+WriteChunk(const ResponseMetadata& aMetadata,
            std::string_view aText,
            std::string_view aFinishReason)
 {
   json::object choice{ { "index", 0 } };
-  if (IsChat(aHead.mKind)) {
+  if (IsChat(aMetadata.mKind)) {
     json::object delta;
     if (aFinishReason.empty()) {
       delta["role"] = "assistant";
@@ -194,38 +194,38 @@
     choice["text"] = json::string(aText);
   }
   choice["finish_reason"] = ReasonOf(aFinishReason);
-  json::object chunk = Envelope(aHead, true);
+  json::object chunk = Envelope(aMetadata, true);
   chunk["choices"] = json::array{ std::move(choice) };
   return SseEvent(chunk);
 }
 
 std::string
-WriteUsageChunk(const ResponseMetadata& aHead,
+WriteUsageChunk(const ResponseMetadata& aMetadata,
                 const protocol::Finished& aFinished)
 {
-  json::object chunk = Envelope(aHead, true);
+  json::object chunk = Envelope(aMetadata, true);
   chunk["choices"] = json::array();
   chunk["usage"] = UsageOf(aFinished);
   return SseEvent(chunk);
 }
 
 std::string
-WriteFullResponse(const ResponseMetadata& aHead,
+WriteFullResponse(const ResponseMetadata& aMetadata,
                   std::string_view aText,
                   const protocol::Finished& aFinished)
 {
   json::object choice{ { "index", 0 } };
-  if (IsChat(aHead.mKind)) {
+  if (IsChat(aMetadata.mKind)) {
     choice["message"] = json::object{ { "role", "assistant" },
                                       { "content", json::string(aText) } };
   } else {
     choice["text"] = json::string(aText);
   }
   choice["finish_reason"] = ReasonOf(aFinished.mFinishReason);
-  json::object whole = Envelope(aHead, false);
-  whole["choices"] = json::array{ std::move(choice) };
-  whole["usage"] = UsageOf(aFinished);
-  return json::serialize(whole);
+  json::object response = Envelope(aMetadata, false);
+  response["choices"] = json::array{ std::move(choice) };
+  response["usage"] = UsageOf(aFinished);
+  return json::serialize(response);
 }
 
 std::string
--- a/packages/coordination/src/claim_manager.cpp
+++ b/packages/coordination/src/claim_manager.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-constexpr Millis kRetryPause{ 50 };
+constexpr Millis kRetryDelay{ 50 };
 
-/// How often a record or a release is tried before it is left as it is.
-constexpr int kBackgroundTries = 40;
-constexpr Millis kBackgroundPause{ 500 };
+/// Attempts to record an outcome or to release a claim before giving up.
+constexpr int kMaxBackgroundAttempts = 40;
+constexpr Millis kBackgroundRetryDelay{ 500 };
 
-/// Counts a task for as long as it lives.
+/// Counts a task while it is in scope.
 class PendingGuard
 {
 public:
@@ -54,10 +54,10 @@
 }
 
 Task<Result<std::optional<ClaimRecord>>>
-ClaimManager::ReadRecord(ClaimResult& aVerdict)
+ClaimManager::ReadRecord(ClaimResult& aClaim)
 {
-  aVerdict.mRevision = 0;
-  auto object = co_await mPlatform.Read(aVerdict.mKey);
+  aClaim.mRevision = 0;
+  auto object = co_await mPlatform.Read(aClaim.mKey);
   if (!object) {
     co_return tl::unexpected(object.error());
   }
@@ -68,109 +68,111 @@
   if (!record) {
     co_return tl::unexpected(record.error());
   }
-  if (record->mNonce == aVerdict.mRecord.mNonce) {
-    aVerdict.mRevision = (*object)->mRevision;
+  if (record->mNonce == aClaim.mRecord.mNonce) {
+    aClaim.mRevision = (*object)->mRevision;
   }
   co_return std::optional<ClaimRecord>(std::move(*record));
 }
 
 Task<ClaimResult>
-ClaimManager::Settle(std::string aTeam,
-                     std::string aKey,
-                     std::string aDigest,
-                     TimePoint aUntil)
+ClaimManager::Acquire(std::string aTeam,
+                      std::string aKey,
+                      std::string aDigest,
+                      TimePoint aUntil)
 {
   ClaimMachine machine(state::RandomNonce(), std::move(aDigest));
-  ClaimResult verdict;
-  verdict.mKey = state::ClaimKey(aTeam, aKey);
-  verdict.mRecord = machine.NewRecord(mClock.WallMillis());
+  ClaimResult claim;
+  claim.mKey = state::ClaimKey(aTeam, aKey);
+  claim.mRecord = machine.NewRecord(mClock.WallMillis());
   while (machine.Step() == ClaimStep::kCreate ||
          machine.Step() == ClaimStep::kReadBack) {
     if (mClock.Now() >= aUntil) {
       machine.OnTimeout();
       break;
     }
-    bool isAnswered = false;
+    bool hasOutcome = false;
     if (machine.Step() == ClaimStep::kCreate) {
       const auto written = co_await mPlatform.Write(
-        verdict.mKey, state::WriteClaimRecord(verdict.mRecord), 0);
-      isAnswered = written || written.error().mCode == ErrorCode::kConflict;
-      verdict.mRevision = written.value_or(0);
+        claim.mKey, state::WriteClaimRecord(claim.mRecord), 0);
+      hasOutcome = written || written.error().mCode == ErrorCode::kConflict;
+      claim.mRevision = written.value_or(0);
       machine.OnCreateResult(written);
     } else {
-      const auto found = co_await ReadRecord(verdict);
-      isAnswered = found.has_value();
+      const auto found = co_await ReadRecord(claim);
+      hasOutcome = found.has_value();
       machine.OnReadResult(found);
     }
-    if (!isAnswered) {
+    if (!hasOutcome) {
       mMetrics.Count("shuntjunction_claim_unanswered_total");
-      co_await transport::Sleep(kRetryPause);
+      co_await transport::Sleep(kRetryDelay);
     }
   }
-  verdict.mStep = machine.Step();
+  claim.mStep = machine.Step();
   mMetrics.Count(
     "shuntjunction_claims_total",
-    { { "outcome", std::string(state::kClaimStepNames.Name(verdict.mStep)) } });
-  if (verdict.mStep == ClaimStep::kUndecided && machine.MayHaveWritten()) {
-    Release(verdict);
+    { { "outcome", std::string(state::kClaimStepNames.Name(claim.mStep)) } });
+  if (claim.mStep == ClaimStep::kUndecided && machine.MayHaveWritten()) {
+    Release(claim);
   }
-  if (verdict.mStep != ClaimStep::kExecute &&
-      verdict.mStep != ClaimStep::kUndecided) {
-    verdict.mRecord = machine.ExistingRecord();
+  if (claim.mStep != ClaimStep::kExecute &&
+      claim.mStep != ClaimStep::kUndecided) {
+    claim.mRecord = machine.ExistingRecord();
   }
-  co_return verdict;
+  co_return claim;
 }
 
 Task<void>
-ClaimManager::Record(ClaimResult aVerdict)
+ClaimManager::Record(ClaimResult aClaim)
 {
   const PendingGuard guard(mPending);
-  if (aVerdict.mRecord.mBody.size() > kMaxRecordedBytes) {
-    mLog.Warn("an outcome is too large to record.");
+  if (aClaim.mRecord.mBody.size() > kMaxRecordedBytes) {
+    mLog.Warn("the outcome is too large to record.");
     co_return;
   }
-  for (int i = 0; i < kBackgroundTries; ++i) {
-    if (aVerdict.mRevision == 0) {
-      const auto found = co_await ReadRecord(aVerdict);
-      const bool isOthers = found && *found && aVerdict.mRevision == 0;
-      if (isOthers || (found && *found && (*found)->mIsDone)) {
+  for (int i = 0; i < kMaxBackgroundAttempts; ++i) {
+    if (aClaim.mRevision == 0) {
+      const auto found = co_await ReadRecord(aClaim);
+      const bool isForeign = found && *found && aClaim.mRevision == 0;
+      if (isForeign || (found && *found && (*found)->mIsDone)) {
         co_return;
       }
     }
-    if (aVerdict.mRevision != 0) {
-      const auto written =
-        co_await mPlatform.Write(aVerdict.mKey,
-                                 state::WriteClaimRecord(aVerdict.mRecord),
-                                 aVerdict.mRevision);
+    if (aClaim.mRevision != 0) {
+      const auto written = co_await mPlatform.Write(
+        aClaim.mKey, state::WriteClaimRecord(aClaim.mRecord), aClaim.mRevision);
       if (written) {
         co_return;
       }
-      // A lost answer may have recorded it: look before the next try.
-      aVerdict.mRevision = 0;
+      // The write may have succeeded although its response was lost: read the
+      // record before the next attempt.
+      aClaim.mRevision = 0;
     }
-    co_await transport::Sleep(kBackgroundPause);
+    co_await transport::Sleep(kBackgroundRetryDelay);
   }
-  mLog.Warn("an outcome could not be recorded.");
+  mLog.Warn("the outcome could not be recorded.");
   mMetrics.Count("shuntjunction_claim_unrecorded_total");
 }
 
 void
-ClaimManager::Release(const ClaimResult& aVerdict)
+ClaimManager::Release(const ClaimResult& aClaim)
 {
-  transport::Spawn(mContext, Delete(aVerdict.mKey, aVerdict.mRecord.mNonce));
+  transport::Spawn(mContext, Delete(aClaim.mKey, aClaim.mRecord.mNonce));
 }
 
 Task<void>
 ClaimManager::Delete(std::string aKey, std::string aNonce)
 {
   const PendingGuard guard(mPending);
-  // A create whose answer was lost may still arrive: look more than once.
-  int absent = 0;
-  constexpr int kAbsentToBelieve = 3;
-  for (int i = 0; i < kBackgroundTries && absent < kAbsentToBelieve; ++i) {
+  // A create whose response was lost may still take effect, so one read that
+  // finds no record is not enough.
+  int absentReads = 0;
+  constexpr int kAbsentReadsToConfirm = 3;
+  for (int i = 0;
+       i < kMaxBackgroundAttempts && absentReads < kAbsentReadsToConfirm;
+       ++i) {
     const auto object = co_await mPlatform.Read(aKey);
     if (object && !*object) {
-      ++absent;
+      ++absentReads;
     } else if (object) {
       const auto found = state::ReadClaimRecord((*object)->mValue);
       if (!found || found->mNonce != aNonce) {
@@ -182,7 +184,7 @@
         co_return;
       }
     }
-    co_await transport::Sleep(kBackgroundPause);
+    co_await transport::Sleep(kBackgroundRetryDelay);
   }
 }
 
--- a/packages/coordination/src/claim_sweeper.cpp
+++ b/packages/coordination/src/claim_sweeper.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::int64_t kLooksInRetention = 8;
-constexpr Millis kDeletePause{ 50 }; ///< leaves the platform to others
+constexpr std::int64_t kSweepsPerRetention = 8;
+constexpr Millis kDeletePause{ 50 }; ///< limits the load on the platform
 
 } // namespace
 
@@ -30,18 +30,19 @@
   , mClock(aClock)
   , mMetrics(aMetrics)
   , mLog("claims")
-  , mTurns(state::kClaimShards)
+  , mShardOrder(state::kClaimShards)
 {
-  // Companions that start together do not list together.
-  std::iota(mTurns.begin(), mTurns.end(), 0);
+  // A random order prevents companions that start at the same time from listing
+  // at the same time.
+  std::iota(mShardOrder.begin(), mShardOrder.end(), 0);
   state::RandomSource random(state::PlacementHash(state::RandomNonce()));
-  std::shuffle(mTurns.begin(), mTurns.end(), random);
+  std::shuffle(mShardOrder.begin(), mShardOrder.end(), random);
 }
 
 void
 ClaimSweeper::Start()
 {
-  transport::Spawn(mContext, Follow());
+  transport::Spawn(mContext, RunLoop());
 }
 
 void
@@ -51,13 +52,13 @@
 }
 
 Task<void>
-ClaimSweeper::Follow()
+ClaimSweeper::RunLoop()
 {
-  const auto pause =
-    mSettings.mRetention / (kLooksInRetention * std::ssize(mTurns));
+  const auto interval =
+    mSettings.mRetention / (kSweepsPerRetention * std::ssize(mShardOrder));
   while (true) {
-    for (const std::size_t shard : mTurns) {
-      co_await transport::Sleep(pause);
+    for (const std::size_t shard : mShardOrder) {
+      co_await transport::Sleep(interval);
       if (state::IsSweeperOf(*mInstances, mSettings.mName, shard)) {
         co_await Sweep(shard);
       }
@@ -71,7 +72,7 @@
   const std::string prefix = state::ClaimShardPrefix(aShard);
   const auto list = co_await mPlatform.List(prefix);
   if (!list) {
-    mLog.Debug("not swept: " + list.error().Describe() + ".");
+    mLog.Debug("cannot list claims: " + list.error().Describe() + ".");
     co_return 0;
   }
   std::size_t deleted = 0;
@@ -79,7 +80,7 @@
          list->mObjects, mClock.WallMillis(), mSettings.mRetention)) {
     const auto done = co_await mPlatform.Delete(claim.mKey, claim.mRevision);
     if (!done) {
-      mLog.Debug("not deleted: " + done.error().Describe() + ".");
+      mLog.Debug("cannot delete a claim: " + done.error().Describe() + ".");
       break;
     }
     ++deleted;
--- a/packages/coordination/src/companion.cpp
+++ b/packages/coordination/src/companion.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr Millis kEventsWait{ 5000 };
-constexpr Millis kEventsPause{ 200 };
-constexpr Millis kAcceptPause{ 50 };
-constexpr int kPollsUntilDown = 3;
+constexpr Millis kEventsTimeout{ 5000 };
+constexpr Millis kEventsRetryDelay{ 200 };
+constexpr Millis kAcceptRetryDelay{ 50 };
+constexpr int kFailedPollsUntilDown = 3;
 
 } // namespace
 
@@ -40,7 +40,7 @@
   , mClaims(aContext, aPlatform, aClock, aMetrics)
   , mLog("companion")
   , mQueue(aSettings.mCompanion.mAdmission)
-  , mPumpTimer(aContext)
+  , mQueueTimer(aContext)
   , mMicrosPerBlock(static_cast<double>(aSettings.mCompanion.mMicrosPerBlock))
 {
 }
@@ -60,10 +60,10 @@
   }
   mAcceptor = *acceptor;
   transport::Spawn(mContext, Accept());
-  transport::Spawn(mContext, FollowState());
+  transport::Spawn(mContext, PollState());
   if (mBackend.IsEngine()) {
-    transport::Spawn(mContext, FollowEvents());
-    transport::Spawn(mContext, FollowStarts());
+    transport::Spawn(mContext, FollowCacheEvents());
+    transport::Spawn(mContext, RunWarming());
   }
   return transport::LocalAddress(*mAcceptor);
 }
@@ -83,7 +83,7 @@
 bool
 Companion::IsReady() const
 {
-  return mConfig.mText != nullptr && mState.mIncarnation != 0 && !mIsLeaving;
+  return mConfig.mText != nullptr && mState.mIncarnation != 0 && !mIsDraining;
 }
 
 bool
@@ -95,8 +95,8 @@
 void
 Companion::BeginDrain()
 {
-  mIsLeaving = true;
-  mLog.Info("leaving; " + std::to_string(mQueue.Running()) +
+  mIsDraining = true;
+  mLog.Info("draining; " + std::to_string(mQueue.Running()) +
             " requests are running.");
   Apply(mQueue.RefuseAll(RefusalReason::kLeaving));
   for (const auto& session : mSessions) {
@@ -129,7 +129,7 @@
   SetChannelGauges(mMetrics, mChannelCounters);
 }
 
-// The backend: its state and its cache.
+// Backend state and cache events.
 
 void
 Companion::NoteState(const BackendState& aState)
@@ -145,16 +145,17 @@
 }
 
 void
-Companion::NoteDown(const state::Error& aError)
+Companion::NoteBackendFailure(const state::Error& aError)
 {
-  if (++mFailedPolls < kPollsUntilDown || mState.mIncarnation == 0) {
+  if (++mFailedPolls < kFailedPollsUntilDown || mState.mIncarnation == 0) {
     return;
   }
   mLog.Warn("the backend is down: " + aError.Describe() + ".");
   mState = {};
   mIndex.Restart(0);
   Apply(mQueue.RefuseAll(RefusalReason::kEngineDown));
-  // What runs there will not be answered: let the routers resume it.
+  // Requests that were running will get no response; cancel them, so that the
+  // routers can resume them elsewhere.
   for (const auto& [ticket, work] : mWorkByTicket) {
     work->mCancel->Cancel();
   }
@@ -167,33 +168,33 @@
   if (found) {
     NoteState(*found);
   } else {
-    NoteDown(found.error());
+    NoteBackendFailure(found.error());
   }
 }
 
 Task<void>
-Companion::FollowState()
+Companion::PollState()
 {
   while (true) {
     co_await Refresh();
-    Pump();
+    ProcessQueue();
     co_await transport::Sleep(mSettings.mCompanion.mPollInterval);
   }
 }
 
 Task<void>
-Companion::FollowEvents()
+Companion::FollowCacheEvents()
 {
   state::Incarnation incarnation = 0;
   std::uint64_t after = 0;
   while (true) {
-    const auto events = co_await mBackend.Events(after, kEventsWait);
+    const auto events = co_await mBackend.Events(after, kEventsTimeout);
     if (!events) {
-      co_await transport::Sleep(kEventsPause);
+      co_await transport::Sleep(kEventsRetryDelay);
       continue;
     }
     if (events->mIncarnation != incarnation) {
-      // Begin at the first event of the new life.
+      // Start at the first event of the new incarnation.
       incarnation = events->mIncarnation;
       if (incarnation != mState.mIncarnation) {
         co_await Refresh();
@@ -221,7 +222,7 @@
     auto [error, socket] =
       co_await mAcceptor->async_accept(transport::kAsTuple);
     if (error) {
-      co_await transport::Sleep(kAcceptPause);
+      co_await transport::Sleep(kAcceptRetryDelay);
       continue;
     }
     boost::system::error_code ignored;
@@ -236,18 +237,19 @@
       const transport::ChannelIdentity identity{ aSelf->mSettings.mName,
                                                  aSelf->mSettings.mSecret,
                                                  aSelf->ConfigVersion() };
-      const auto proved = co_await aChannel->HandshakeAsAcceptor(identity);
-      if (!proved) {
-        aSelf->mLog.Warn("a peer was refused: " + proved.error().Describe() +
-                         ".");
+      const auto authenticated =
+        co_await aChannel->HandshakeAsAcceptor(identity);
+      if (!authenticated) {
+        aSelf->mLog.Warn(
+          "rejected a peer: " + authenticated.error().Describe() + ".");
         co_return;
       }
       const auto session = std::make_shared<Session>(aChannel);
       aSelf->mSessions.insert(session);
-      if (aSelf->mIsLeaving) {
+      if (aSelf->mIsDraining) {
         aChannel->Send(protocol::Leaving{ aSelf->mSettings.mName });
       }
-      aSelf->HearVersion(*session, aChannel->PeerConfigVersion());
+      aSelf->NotePeerVersion(*session, aChannel->PeerConfigVersion());
       while (true) {
         auto message = co_await aChannel->Receive();
         if (!message) {
@@ -255,7 +257,8 @@
         }
         aSelf->Dispatch(session, std::move(*message));
       }
-      // Its requests are given up, but not those that must not be repeated.
+      // Cancel the connection's requests; running non-repeatable ones are not
+      // aborted at the backend.
       aSelf->mSessions.erase(session);
       for (const auto& [id, work] : session->mWork) {
         work->Cancel();
@@ -279,10 +282,10 @@
     return found->second;
   };
   if (auto* submit = std::get_if<protocol::Submit>(&aMessage)) {
-    HearVersion(*aSession, submit->mConfigVersion);
+    NotePeerVersion(*aSession, submit->mConfigVersion);
     BeginWork(aSession, std::move(*submit));
   } else if (const auto* probe = std::get_if<protocol::Probe>(&aMessage)) {
-    HearVersion(*aSession, probe->mConfigVersion);
+    NotePeerVersion(*aSession, probe->mConfigVersion);
     AnswerProbe(*aSession, *probe);
   } else if (const auto* cancel = std::get_if<protocol::Cancel>(&aMessage)) {
     if (const auto work = find(cancel->mId, cancel->mAttempt)) {
@@ -291,7 +294,7 @@
   } else if (const auto* credit = std::get_if<protocol::Credit>(&aMessage)) {
     if (const auto work = find(credit->mId, credit->mAttempt)) {
       work->mWindow += credit->mTokens;
-      work->mNews.Push(WorkNews::kCredit);
+      work->mMailbox.Push(WorkEvent::kCredit);
     }
   } else if (const auto* request =
                std::get_if<protocol::SnapshotRequest>(&aMessage)) {
@@ -304,10 +307,10 @@
 }
 
 void
-Companion::HearVersion(Session& aSession, std::uint64_t aVersion)
+Companion::NotePeerVersion(Session& aSession, std::uint64_t aVersion)
 {
-  if (aVersion > ConfigVersion() && aVersion > mHeardVersion) {
-    mHeardVersion = aVersion;
+  if (aVersion > ConfigVersion() && aVersion > mNewestPeerVersion) {
+    mNewestPeerVersion = aVersion;
     aSession.Channel().Send(mConfig.RequestNewer());
   }
 }
@@ -318,7 +321,7 @@
   protocol::ProbeReply reply;
   reply.mId = aProbe.mId;
   reply.mIsAccepting =
-    !mIsLeaving && !mIsPaused && mState.mIncarnation != 0 &&
+    !mIsDraining && !mIsPaused && mState.mIncarnation != 0 &&
     (!mBackend.IsEngine() ||
      protocol::ServesHash(mState.mModel) == aProbe.mServesHash);
   reply.mCachedBlocks = mIndex.CachedBlocks(std::span(aProbe.mLevels));
--- a/packages/coordination/src/companion_parts.h
+++ b/packages/coordination/src/companion_parts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Private to the coordination package.
+// Internals of Companion, shared by its source files.
 
 #include <memory>
 #include <unordered_map>
@@ -10,8 +10,8 @@
 
 namespace shuntjunction::coordination {
 
-/// News for a piece of work.
-enum class WorkNews : std::uint8_t
+/// An event that a request's coroutine waits for.
+enum class WorkEvent : std::uint8_t
 {
   kAdmitted,
   kRefused,
@@ -19,7 +19,7 @@
   kCredit,
 };
 
-/// One router's connection.
+/// The connection of one router.
 class Companion::Session
 {
 public:
@@ -36,7 +36,7 @@
   std::shared_ptr<transport::FrameChannel> mChannel;
 };
 
-/// One request on its way through the companion.
+/// The state of one request in the companion.
 struct Companion::Work
 {
   Work(const boost::asio::any_io_executor& aExecutor,
@@ -44,7 +44,7 @@
        protocol::Submit aSubmit)
     : mSession(aSession)
     , mSubmit(std::move(aSubmit))
-    , mNews(aExecutor)
+    , mMailbox(aExecutor)
     , mWindow(mSubmit.mWindow)
   {
   }
@@ -62,11 +62,12 @@
     return session ? session->Channel().UnannouncedVersion(aVersion) : 0;
   }
 
-  /// Gives the work up; what must not be repeated is not cut at the backend.
+  /// Cancels the request. A non-repeatable request that the backend is already
+  /// running is not aborted there.
   void Cancel()
   {
     mIsCancelled = true;
-    mNews.Push(WorkNews::kCancelled);
+    mMailbox.Push(WorkEvent::kCancelled);
     if (!mSubmit.mIsOnce) {
       mCancel->Cancel();
     }
@@ -77,11 +78,11 @@
   state::PrefixChain mChain;
   state::AdmissionTicket mTicket;
   state::AdmissionRefusal mRefusal;
-  transport::Mailbox<WorkNews> mNews;
-  std::int64_t mWindow; ///< tokens that may be sent now
-  state::TimePoint mHandedOver;
+  transport::Mailbox<WorkEvent> mMailbox;
+  std::int64_t mWindow; ///< number of tokens that may be sent now
+  state::TimePoint mSubmittedAt;
   std::uint32_t mComputedBlocks = 0;
-  state::Incarnation mIncarnation = 0; ///< of the engine that answers
+  state::Incarnation mIncarnation = 0; ///< of the responding engine
   std::shared_ptr<transport::CancelHandle> mCancel =
     std::make_shared<transport::CancelHandle>();
   bool mIsCancelled = false;
--- a/packages/coordination/src/companion_warming.cpp
+++ b/packages/coordination/src/companion_warming.cpp
@@ -1,4 +1,5 @@
-// Warming ahead of an event's start: see state/warming.h for who warms what.
+// Cache warming ahead of an event's start; state/warming.h decides which
+// companion warms which prompt.
 
 #include <algorithm>
 
@@ -15,18 +16,18 @@
 
 namespace {
 
-constexpr Millis kStartsPoll{ 1000 };
+constexpr Millis kWarmingInterval{ 1000 };
 constexpr Millis kMinWarmTime{ 1000 };
-constexpr std::uint32_t kWarmWindow = 16; ///< above the one token asked for
+constexpr std::uint32_t kWarmWindow = 16; ///< more than the one requested token
 
 } // namespace
 
 Task<void>
-Companion::FollowStarts()
+Companion::RunWarming()
 {
   while (true) {
-    co_await transport::Sleep(kStartsPoll);
-    if (mIsLeaving || mIsPaused || mState.mIncarnation == 0) {
+    co_await transport::Sleep(kWarmingInterval);
+    if (mIsDraining || mIsPaused || mState.mIncarnation == 0) {
       continue;
     }
     for (const auto& task : state::DueWarmTasks(*mConfig.mSnapshot,
@@ -43,22 +44,22 @@
 {
   const state::CacheScope scope{ aTask.mTeam, aTask.mModel, mState.mWeights };
   const auto chain = state::BuildPrefixChain(scope, aTask.Levels());
-  const auto all = static_cast<std::uint32_t>(chain.mBlocks.size());
+  const auto blocks = static_cast<std::uint32_t>(chain.mBlocks.size());
   const TimePoint now = mClock.Now();
-  if (all == 0 || aTask.mModel != mState.mModel ||
-      mIndex.CachedBlocks(std::span(chain.mBlocks)) == all) {
+  if (blocks == 0 || aTask.mModel != mState.mModel ||
+      mIndex.CachedBlocks(std::span(chain.mBlocks)) == blocks) {
     return;
   }
-  // Computed already for this start, but its events are late or it was
-  // evicted again: once a start is enough.
-  const auto warmed = mWarmed.find(chain.mBlocks.back());
-  if (warmed != mWarmed.end() && now < warmed->second + state::kWarmLead) {
+  // Warm only once per start, even if the cache events are late or the blocks
+  // were evicted again.
+  const auto warmed = mWarmedAt.find(chain.mBlocks.back());
+  if (warmed != mWarmedAt.end() && now < warmed->second + state::kWarmLead) {
     return;
   }
-  std::erase_if(mWarmed, [&](const auto& aItem) {
+  std::erase_if(mWarmedAt, [&](const auto& aItem) {
     return now >= aItem.second + state::kWarmLead;
   });
-  mWarmed[chain.mBlocks.back()] = now;
+  mWarmedAt[chain.mBlocks.back()] = now;
   boost::json::array messages;
   for (const auto& text : aTask.mSharedText) {
     messages.push_back(
--- a/packages/coordination/src/companion_work.cpp
+++ b/packages/coordination/src/companion_work.cpp
@@ -1,4 +1,4 @@
-// A request's way through the companion: admission, claim, backend.
+// Stages of a request in the companion: admission, claim, backend.
 
 #include <algorithm>
 
@@ -21,10 +21,13 @@
 
 namespace {
 
-constexpr Millis kRetryElsewhere{ 100 }; ///< another endpoint is better
-constexpr Millis kRetryLater{ 1000 };
-constexpr Millis kAnswerTimeout{ 60000 }; ///< for the next piece of an answer
-constexpr double kBlockTimeGain = 0.1;    ///< weight of the newest measurement
+/// Retry delay with a refusal after which another endpoint should be used.
+constexpr Millis kRetryElsewhereDelay{ 100 };
+constexpr Millis kRetryLaterDelay{ 1000 };
+/// Timeout for the next event of a response.
+constexpr Millis kResponseTimeout{ 60000 };
+/// Weight of the newest sample in the moving average.
+constexpr double kBlockTimeSmoothing = 0.1;
 constexpr std::uint32_t kMinMeasuredBlocks = 8;
 
 } // namespace
@@ -32,15 +35,16 @@
 std::optional<RefusalReason>
 Companion::ReasonToRefuse(const protocol::Submit& aSubmit) const
 {
-  if (mIsLeaving) {
+  if (mIsDraining) {
     return RefusalReason::kLeaving;
   }
   if (mState.mIncarnation == 0) {
     return RefusalReason::kEngineDown;
   }
   if (!mBackend.IsEngine()) {
-    const bool isCall = aSubmit.mKind == RequestKind::kService;
-    return isCall ? std::nullopt : std::optional(RefusalReason::kWrongModel);
+    const bool isServiceCall = aSubmit.mKind == RequestKind::kService;
+    return isServiceCall ? std::nullopt
+                         : std::optional(RefusalReason::kWrongModel);
   }
   const bool isWrongWeights =
     aSubmit.mWeightsVersion != 0 && aSubmit.mWeightsVersion != mState.mWeights;
@@ -57,7 +61,7 @@
   const auto work = std::make_shared<Work>(
     mContext.get_executor(), aSession, std::move(aSubmit));
   if (const auto reason = ReasonToRefuse(work->mSubmit)) {
-    Refuse(*work, *reason, kRetryElsewhere);
+    Refuse(*work, *reason, kRetryElsewhereDelay);
     return;
   }
   const auto& submit = work->mSubmit;
@@ -93,11 +97,11 @@
   if (team != mConfig.mSnapshot->mTeams.end()) {
     ticket.mTeamWeight = team->second.mWeight;
   }
-  const auto all = static_cast<std::uint32_t>(aWork->mChain.mBlocks.size());
+  const auto blocks = static_cast<std::uint32_t>(aWork->mChain.mBlocks.size());
   const std::uint32_t cached =
     mIndex.CachedBlocks(std::span(aWork->mChain.mBlocks));
   ticket.mCostMicros =
-    static_cast<std::int64_t>((all - cached) * mMicrosPerBlock);
+    static_cast<std::int64_t>((blocks - cached) * mMicrosPerBlock);
   for (const auto& level : aWork->mChain.mLevels) {
     if (level.mBlocks > cached) {
       ticket.mMissingPrefix = level.mHash;
@@ -107,7 +111,7 @@
   mWorkByTicket.emplace(ticket.mId, aWork);
   Apply(mQueue.Enqueue(ticket, now));
   transport::Spawn(mContext, RunWork(aWork));
-  Pump();
+  ProcessQueue();
 }
 
 void
@@ -117,29 +121,29 @@
     const auto work = mWorkByTicket.find(refusal.mId);
     if (work != mWorkByTicket.end()) {
       work->second->mRefusal = refusal;
-      work->second->mNews.Push(WorkNews::kRefused);
+      work->second->mMailbox.Push(WorkEvent::kRefused);
     }
   }
 }
 
 void
-Companion::Pump()
+Companion::ProcessQueue()
 {
   const TimePoint now = mClock.Now();
   Apply(mQueue.Expire(now));
   while (const auto ticket = mQueue.Next(now)) {
     const auto work = mWorkByTicket.find(ticket->mId);
     if (work != mWorkByTicket.end()) {
-      work->second->mNews.Push(WorkNews::kAdmitted);
+      work->second->mMailbox.Push(WorkEvent::kAdmitted);
     } else {
       mQueue.Remove(ticket->mId);
     }
   }
   if (const auto wake = mQueue.NextWake(now)) {
-    mPumpTimer.expires_at(*wake);
-    mPumpTimer.async_wait([this](auto aError) {
+    mQueueTimer.expires_at(*wake);
+    mQueueTimer.async_wait([this](auto aError) {
       if (!aError) {
-        Pump();
+        ProcessQueue();
       }
     });
   }
@@ -149,10 +153,10 @@
 Companion::RunWork(WorkPtr aWork)
 {
   ++mActive;
-  ClaimResult verdict;
+  ClaimResult claim;
   const bool isAdmitted = co_await AwaitAdmission(aWork);
-  if (isAdmitted && co_await AwaitClaim(aWork, verdict)) {
-    co_await RunBackend(aWork, std::move(verdict));
+  if (isAdmitted && co_await AwaitClaim(aWork, claim)) {
+    co_await RunBackend(aWork, std::move(claim));
   }
   mQueue.Remove(aWork->mTicket.mId);
   mWorkByTicket.erase(aWork->mTicket.mId);
@@ -160,45 +164,45 @@
     session->mWork.erase(aWork->mSubmit.mId);
   }
   --mActive;
-  Pump();
+  ProcessQueue();
 }
 
 Task<bool>
 Companion::AwaitAdmission(WorkPtr aWork)
 {
   while (true) {
-    const auto news = co_await aWork->mNews.Receive(TimePoint::max());
-    switch (news.value_or(WorkNews::kCancelled)) {
-      case WorkNews::kAdmitted:
+    const auto workEvent = co_await aWork->mMailbox.Receive(TimePoint::max());
+    switch (workEvent.value_or(WorkEvent::kCancelled)) {
+      case WorkEvent::kAdmitted:
         co_return true;
-      case WorkNews::kRefused:
+      case WorkEvent::kRefused:
         Refuse(*aWork, aWork->mRefusal.mReason, aWork->mRefusal.mRetryAfter);
         co_return false;
-      case WorkNews::kCancelled:
+      case WorkEvent::kCancelled:
         co_return false;
-      case WorkNews::kCredit:
+      case WorkEvent::kCredit:
         break;
     }
   }
 }
 
 Task<bool>
-Companion::AwaitClaim(WorkPtr aWork, ClaimResult& aVerdict)
+Companion::AwaitClaim(WorkPtr aWork, ClaimResult& aClaim)
 {
   const auto& submit = aWork->mSubmit;
   if (submit.mIsOnce) {
-    const TimePoint until =
+    const TimePoint giveUpAt =
       std::min(mClock.Now() + mSettings.mCompanion.mClaimTimeout,
                aWork->mTicket.mDeadline);
     const std::string digest = state::Sha256Hex(
       submit.mMethod + " " + submit.mTarget + "\n" + submit.mBody);
-    aVerdict =
-      co_await mClaims.Settle(submit.mTeam, submit.mKey, digest, until);
-    switch (aVerdict.mStep) {
+    aClaim =
+      co_await mClaims.Acquire(submit.mTeam, submit.mKey, digest, giveUpAt);
+    switch (aClaim.mStep) {
       case ClaimStep::kExecute:
         break;
       case ClaimStep::kReplay:
-        Replay(*aWork, aVerdict.mRecord);
+        Replay(*aWork, aClaim.mRecord);
         co_return false;
       case ClaimStep::kHeldByOther:
         Fail(*aWork,
@@ -212,14 +216,15 @@
              "this key was used before with another request");
         co_return false;
       default:
-        Refuse(*aWork, RefusalReason::kPlatformDown, kRetryLater);
+        Refuse(*aWork, RefusalReason::kPlatformDown, kRetryLaterDelay);
         co_return false;
     }
   }
-  // Much may have changed while it waited, or the process may have slept.
+  // Check again: the state may have changed while the request waited, or the
+  // process may have been suspended.
   auto reason = ReasonToRefuse(submit);
   if (reason == RefusalReason::kLeaving) {
-    reason.reset(); // It was admitted before: a planned stop cuts nothing.
+    reason.reset(); // A planned stop lets admitted requests finish.
   }
   if (mClock.Now() >= aWork->mTicket.mDeadline) {
     reason = RefusalReason::kTooLate;
@@ -228,14 +233,15 @@
     co_return true;
   }
   if (submit.mIsOnce) {
-    mClaims.Release(aVerdict);
+    mClaims.Release(aClaim);
   }
-  Refuse(*aWork, reason.value_or(RefusalReason::kTooLate), kRetryElsewhere);
+  Refuse(
+    *aWork, reason.value_or(RefusalReason::kTooLate), kRetryElsewhereDelay);
   co_return false;
 }
 
 Task<void>
-Companion::RunBackend(WorkPtr aWork, ClaimResult aVerdict)
+Companion::RunBackend(WorkPtr aWork, ClaimResult aClaim)
 {
   auto& submit = aWork->mSubmit;
   const state::CacheScope scope{ submit.mTeam,
@@ -247,57 +253,59 @@
   call.mSalt = state::EngineSalt(scope, mSettings.mSecret);
   call.mChain = aWork->mChain.mBlocks;
   call.mCancel = aWork->mCancel;
-  aWork->mHandedOver = mClock.Now();
-  const auto answer = co_await mBackend.Open(std::move(call));
-  if (!answer) {
-    mLog.Warn("the backend failed: " + answer.error().Describe() + ".",
+  aWork->mSubmittedAt = mClock.Now();
+  const auto response = co_await mBackend.Open(std::move(call));
+  if (!response) {
+    mLog.Warn("the backend failed: " + response.error().Describe() + ".",
               submit.mRequestId);
-    if (answer.error().mCode == state::ErrorCode::kUnavailable) {
+    if (response.error().mCode == state::ErrorCode::kUnavailable) {
       if (submit.mIsOnce) {
-        mClaims.Release(aVerdict);
+        mClaims.Release(aClaim);
       }
-      Refuse(*aWork, RefusalReason::kEngineDown, kRetryElsewhere);
+      Refuse(*aWork, RefusalReason::kEngineDown, kRetryElsewhereDelay);
     } else {
-      Fail(*aWork, RunState::kUnknown, answer.error().mText);
+      Fail(*aWork, RunState::kUnknown, response.error().mText);
     }
     co_return;
   }
-  if ((*answer)->Weights() != weights) {
-    // Other weights answer than those whose salt was handed in.
+  if ((*response)->Weights() != weights) {
+    // The cache salt was derived from another weights version.
     Fail(*aWork, RunState::kUnknown, "the engine changed its weights");
     co_return;
   }
-  const state::Incarnation incarnation = (*answer)->CurrentIncarnation();
+  const state::Incarnation incarnation = (*response)->CurrentIncarnation();
   aWork->mIncarnation = incarnation;
   if (mBackend.IsEngine() && incarnation != mState.mIncarnation) {
     mIndex.Restart(incarnation);
   }
-  const auto all = static_cast<std::uint32_t>(aWork->mChain.mBlocks.size());
-  aWork->mComputedBlocks = all - std::min(all, (*answer)->CachedBlocks());
+  const auto blocks = static_cast<std::uint32_t>(aWork->mChain.mBlocks.size());
+  aWork->mComputedBlocks =
+    blocks - std::min(blocks, (*response)->CachedBlocks());
   aWork->Send(protocol::Started{ submit.mId,
                                  submit.mAttempt,
                                  incarnation,
-                                 (*answer)->CachedBlocks(),
+                                 (*response)->CachedBlocks(),
                                  aWork->UnannouncedVersion(ConfigVersion()),
-                                 (*answer)->Weights() });
+                                 (*response)->Weights() });
   bool hasFirstToken = false;
-  std::string recorded;
+  std::string recordedText;
   while (true) {
-    auto event = co_await (*answer)->Next(kAnswerTimeout);
+    auto event = co_await (*response)->Next(kResponseTimeout);
     if (!event) {
-      mLog.Warn("an answer was cut off: " + event.error().Describe() + ".",
+      mLog.Warn("the response was interrupted: " + event.error().Describe() +
+                  ".",
                 submit.mRequestId);
       Fail(*aWork, RunState::kUnknown, event.error().mText);
       co_return;
     }
     if (!std::exchange(hasFirstToken, true)) {
-      NoteBlockTime(*aWork);
+      UpdateBlockTime(*aWork);
       mQueue.NoteFirstToken(aWork->mTicket.mId);
-      Pump();
+      ProcessQueue();
     }
     if (auto* tokens = std::get_if<BackendTokens>(&*event)) {
-      if (submit.mIsOnce && recorded.size() <= kMaxRecordedBytes) {
-        recorded += tokens->mText;
+      if (submit.mIsOnce && recordedText.size() <= kMaxRecordedBytes) {
+        recordedText += tokens->mText;
       }
       aWork->mWindow -= tokens->mCount;
       aWork->Send(protocol::Tokens{ submit.mId,
@@ -313,14 +321,14 @@
     }
     const auto& end = std::get<BackendEnd>(*event);
     if (submit.mIsOnce) {
-      auto& record = aVerdict.mRecord;
+      auto& record = aClaim.mRecord;
       record.mIsDone = true;
       record.mStatus = end.mStatus;
       record.mContentType = end.mContentType;
-      record.mBody = recorded + end.mBody;
+      record.mBody = recordedText + end.mBody;
       record.mFinishReason = end.mFinishReason;
       record.mTokens = end.mTotalTokens;
-      transport::Spawn(mContext, mClaims.Record(aVerdict));
+      transport::Spawn(mContext, mClaims.Record(aClaim));
     }
     FinishWork(*aWork, end);
     co_return;
@@ -330,27 +338,27 @@
 Task<bool>
 Companion::AwaitWindow(WorkPtr aWork)
 {
-  // A request that must not be repeated runs to its end all the same, so
-  // that its outcome is there for the caller who asks again.
+  // A non-repeatable request runs to completion in any case, so that its
+  // outcome is available if the caller retries.
   if (aWork->mSubmit.mIsOnce) {
     co_return true;
   }
   while (aWork->mWindow <= 0 && !aWork->mIsCancelled) {
-    co_await aWork->mNews.Receive(TimePoint::max());
+    co_await aWork->mMailbox.Receive(TimePoint::max());
   }
   co_return !aWork->mIsCancelled;
 }
 
 void
-Companion::NoteBlockTime(const Work& aWork)
+Companion::UpdateBlockTime(const Work& aWork)
 {
   if (aWork.mComputedBlocks < kMinMeasuredBlocks || mQueue.Running() > 1) {
     return;
   }
   const std::chrono::duration<double, std::micro> time =
-    mClock.Now() - aWork.mHandedOver;
+    mClock.Now() - aWork.mSubmittedAt;
   const double measured = time.count() / aWork.mComputedBlocks;
-  mMicrosPerBlock += kBlockTimeGain * (measured - mMicrosPerBlock);
+  mMicrosPerBlock += kBlockTimeSmoothing * (measured - mMicrosPerBlock);
 }
 
 void
--- a/packages/coordination/src/daemon.cpp
+++ b/packages/coordination/src/daemon.cpp
@@ -38,8 +38,9 @@
 constexpr Millis kDrainPoll{ 20 };
 constexpr Millis kStatusInterval{ 500 };
 
-/// Time in which routers hear that a companion leaves before it may go.
-constexpr Millis kLeaveNotice{ 200 };
+/// Minimum time between the leaving message to routers and the exit of a
+/// companion.
+constexpr Millis kDrainNotice{ 200 };
 
 Address
 PlatformAddress(const Settings& aSettings)
@@ -52,10 +53,12 @@
 {
   const auto address =
     state::ParseAddress(aSettings.mCompanion.mBackend).value_or(Address{});
-  const auto most = static_cast<std::size_t>(aSettings.mLimits.mMaxAnswerBytes);
+  const auto maxResponseBytes =
+    static_cast<std::size_t>(aSettings.mLimits.mMaxAnswerBytes);
   return aSettings.mCompanion.mBackendKind == state::BackendKind::kEngine
-           ? MakeEngineBackend(address, aSettings.mCompanion, most)
-           : MakeServiceBackend(address, aSettings.mCompanion, most);
+           ? MakeEngineBackend(address, aSettings.mCompanion, maxResponseBytes)
+           : MakeServiceBackend(
+               address, aSettings.mCompanion, maxResponseBytes);
 }
 
 ConfigFeedSettings
@@ -73,7 +76,7 @@
 
 } // namespace
 
-/// Everything of the process; members are built in the order of their use.
+/// The process's components; later members depend on earlier ones.
 class Daemon::Impl
 {
 public:
@@ -123,11 +126,11 @@
     });
     mFeed.Start();
     mStatus.Start();
-    transport::Spawn(mTraffic, FollowStatus());
+    transport::Spawn(mTraffic, PublishStatus());
     mControlThread = std::thread([this] { mControl.run(); });
     mTrafficThread = std::thread([this] { mTraffic.run(); });
-    mLog.Info(mSettings.mName + " takes traffic on " + traffic->Text() +
-              " and operators on " + admin->Text() + ".");
+    mLog.Info(mSettings.mName + " listens on " + traffic->Text() +
+              ", admin endpoint on " + admin->Text() + ".");
     return DaemonAddresses{ *traffic, *admin };
   }
 
@@ -152,7 +155,7 @@
   Result<Address> StartRouter()
   {
     mRouter = std::make_unique<Router>(
-      mTraffic, mSettings, mClock, mMetrics, SnapshotTaker());
+      mTraffic, mSettings, mClock, mMetrics, MakePeerSnapshotHandler());
     mRouter->Start();
     mServer = std::make_unique<transport::HttpServer>(
       mTraffic, mSettings.mLimits, *mRouter);
@@ -169,7 +172,7 @@
                                              mTrafficPlatform,
                                              mClock,
                                              mMetrics,
-                                             SnapshotTaker());
+                                             MakePeerSnapshotHandler());
     mSweeper = std::make_unique<ClaimSweeper>(
       mTraffic,
       ClaimSweeperSettings{ mSettings.mName,
@@ -206,8 +209,9 @@
     return mAdminServer->Start(*address);
   }
 
-  /// Passes a peer's snapshot from the traffic to the control thread.
-  PeerSnapshotHandler SnapshotTaker()
+  /// Creates a handler that posts a peer's snapshot from the traffic thread to
+  /// the control thread.
+  PeerSnapshotHandler MakePeerSnapshotHandler()
   {
     return [this](protocol::SnapshotReply aReply, std::string aPeer) {
       asio::post(mControl,
@@ -217,7 +221,7 @@
     };
   }
 
-  /// On the control thread: passes a configuration on to the traffic thread.
+  /// On the control thread: posts a configuration to the traffic thread.
   void ApplyConfig(PublishedConfig aConfig)
   {
     asio::post(mTraffic, [this, config = std::move(aConfig)]() mutable {
@@ -234,7 +238,7 @@
     });
   }
 
-  /// What is told of the process: on its port and in the platform.
+  /// The process's status, for the admin endpoint and the platform.
   json::object StatusObject() const
   {
     json::array quarantined;
@@ -260,8 +264,8 @@
     return status;
   }
 
-  /// Hands the status to its writer, which writes it when it has changed.
-  Task<void> FollowStatus()
+  /// Passes the status to its writer periodically; only changes are written.
+  Task<void> PublishStatus()
   {
     while (true) {
       asio::post(mControl, [this, text = json::serialize(StatusObject())] {
@@ -292,7 +296,7 @@
     set("shuntjunction_config_watching", aIsWatching ? 1 : 0);
   }
 
-  // The stop.
+  // Graceful stop.
 
   void BeginStop()
   {
@@ -312,16 +316,17 @@
   Task<void> FinishStop()
   {
     const TimePoint until = mClock.Now() + mSettings.mDrainTimeout;
-    // Until the balancer has seen that it is unready, requests still come.
-    co_await transport::Sleep(mServer ? mSettings.mStopNotice : kLeaveNotice);
+    // New requests arrive until the load balancer has seen that this router is
+    // not ready.
+    co_await transport::Sleep(mServer ? mSettings.mStopNotice : kDrainNotice);
     if (mServer) {
       mServer->Stop();
     }
     while (mClock.Now() < until && !IsIdle()) {
       co_await transport::Sleep(kDrainPoll);
     }
-    mLog.Info(IsIdle() ? "stopped; nothing was cut."
-                       : "stopped at the time limit; work was cut.");
+    mLog.Info(IsIdle() ? "stopped; all requests finished."
+                       : "stopped at the drain timeout; requests were cut.");
     mControl.stop();
     mTraffic.stop();
   }
--- a/packages/coordination/src/engine_monitor.cpp
+++ b/packages/coordination/src/engine_monitor.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-/// Between two reports: asking is free on the engine's own machine.
-constexpr Millis kInterval{ 300 };
+/// Interval between reports; polling is cheap, as the engine is on the same
+/// machine.
+constexpr Millis kPollInterval{ 300 };
 
-/// After a report that failed.
+/// Delay after a failed report.
 constexpr Millis kRetryInterval{ 50 };
 
-/// Silent reports in a row after which the engine counts as down; a refused
-/// connection says so at once.
-constexpr int kSilentReports = 3;
+/// Consecutive failed reports after which the engine counts as down. A refused
+/// connection fails at once, so that this takes little time.
+constexpr int kFailuresUntilDown = 3;
 
 } // namespace
 
 EngineMonitor::EngineMonitor(transport::asio::io_context& aContext,
                              EngineControl& aEngine,
                              EngineNewsServer& aNews,
-                             Handler aTake)
+                             Handler aOnReport)
   : mContext(aContext)
   , mEngine(aEngine)
   , mNews(aNews)
-  , mTake(std::move(aTake))
+  , mOnReport(std::move(aOnReport))
 {
 }
 
@@ -45,14 +46,14 @@
     if (report) {
       failures = 0;
       mNews.SetLife(report->mEndpointIncarnation);
-      mTake(*report);
+      mOnReport(*report);
       mNews.SetLoad(static_cast<std::uint32_t>(report->mActive),
                     static_cast<std::uint32_t>(report->mQueued));
       mNews.SetDown(false);
-      co_await transport::Sleep(kInterval);
+      co_await transport::Sleep(kPollInterval);
       continue;
     }
-    if (++failures >= kSilentReports) {
+    if (++failures >= kFailuresUntilDown) {
       mNews.SetDown(true);
     }
     co_await transport::Sleep(kRetryInterval);
--- a/packages/coordination/src/engine_reconciler.cpp
+++ b/packages/coordination/src/engine_reconciler.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-constexpr Millis kLookInterval{ 300 };
+constexpr Millis kReconcileInterval{ 300 };
 constexpr Millis kFailurePause{ 1000 };
 constexpr Millis kStreamPoll{ 20 };
-constexpr int kMaxSteps = 12;       ///< of one order, reads again included
-constexpr std::size_t kBatches = 3; ///< a model's endpoints change in so many
+constexpr int kMaxSteps = 12;       ///< per order, including repeated reads
+constexpr std::size_t kBatches = 3; ///< in which a model's endpoints change
 
-/// Longest wait for the batches before; then a lost companion is passed over.
-constexpr Millis kMaxTurnWait{ 60000 };
+/// Longest wait for earlier batches, after which a lost companion is ignored.
+constexpr Millis kMaxBatchWait{ 60000 };
 
 } // namespace
 
@@ -53,7 +53,7 @@
 void
 EngineReconciler::Start()
 {
-  transport::Spawn(mContext, Follow());
+  transport::Spawn(mContext, RunLoop());
 }
 
 void
@@ -64,16 +64,16 @@
 }
 
 Task<void>
-EngineReconciler::Follow()
+EngineReconciler::RunLoop()
 {
   while (true) {
-    co_await transport::Sleep(kLookInterval);
+    co_await transport::Sleep(kReconcileInterval);
     co_await Reconcile();
   }
 }
 
 std::optional<BackendOrder>
-EngineReconciler::Wanted() const
+EngineReconciler::DesiredOrder() const
 {
   const auto endpoint = mConfig->mEndpoints.find(mSettings.mName);
   if (endpoint == mConfig->mEndpoints.end()) {
@@ -92,7 +92,7 @@
 }
 
 bool
-EngineReconciler::IsInLine(const BackendOrder& aOrder) const
+EngineReconciler::IsReconciled(const BackendOrder& aOrder) const
 {
   const auto& found = mCompanion.LastState();
   return found.mModel == aOrder.mModel && found.mWeights == aOrder.mWeights &&
@@ -102,28 +102,29 @@
 Task<void>
 EngineReconciler::Reconcile()
 {
-  const auto wanted = Wanted();
+  const auto desired = DesiredOrder();
   const bool isUp = mCompanion.LastState().mIncarnation != 0;
-  if (!wanted || !isUp || IsInLine(*wanted)) {
-    mWaitsSince.reset();
+  if (!desired || !isUp || IsReconciled(*desired)) {
+    mWaitingSince.reset();
     co_return;
   }
-  if (!co_await IsMyTurn(wanted->mModel, wanted->mWeights)) {
+  if (!co_await IsBatchDue(desired->mModel, desired->mWeights)) {
     co_return;
   }
   state::OrderMachine machine(state::RandomNonce(),
                               mCompanion.LastState().mFence);
-  const bool isOver = co_await Run(machine, *wanted);
+  const bool isComplete = co_await RunOrderMachine(machine, *desired);
   co_await mCompanion.Refresh();
   mCompanion.PauseAdmission(false);
-  if (!isOver) {
+  if (!isComplete) {
     mMetrics.Count("shuntjunction_orders_total", { { "outcome", "lost" } });
     co_await PauseAfterFailure();
   }
 }
 
 Task<bool>
-EngineReconciler::Run(state::OrderMachine& aMachine, BackendOrder aOrder)
+EngineReconciler::RunOrderMachine(state::OrderMachine& aMachine,
+                                  BackendOrder aOrder)
 {
   for (int step = 0; step < kMaxSteps; ++step) {
     switch (aMachine.Step()) {
@@ -144,25 +145,27 @@
         break;
       case OrderStep::kSendOrder:
         aOrder.mFence = aMachine.Fence();
-        co_await Give(aOrder);
+        co_await SendOrder(aOrder);
         aMachine.OnOrderSent();
         break;
       case OrderStep::kCompleted:
         co_return true;
       case OrderStep::kLost:
-        mLog.Info("no order: the fencing number is another's, or unsure.");
+        mLog.Info(
+          "no order sent: the fencing token is held by another process, or "
+          "its state is unknown.");
         co_return false;
     }
   }
-  mLog.Warn("no order: the platform does not answer.");
+  mLog.Warn("no order sent: the platform does not respond.");
   co_return false;
 }
 
 Task<void>
-EngineReconciler::Give(BackendOrder aOrder)
+EngineReconciler::SendOrder(BackendOrder aOrder)
 {
   mLog.Info("ordering " + aOrder.mModel + ", weights version " +
-            std::to_string(aOrder.mWeights) + ", with fencing number " +
+            std::to_string(aOrder.mWeights) + ", with fencing token " +
             std::to_string(aOrder.mFence) + ".");
   const auto done = co_await mBackend.Order(aOrder);
   mMetrics.Count("shuntjunction_orders_total",
@@ -209,14 +212,15 @@
 }
 
 Task<bool>
-EngineReconciler::IsMyTurn(std::string aModel, std::uint32_t aWeights)
+EngineReconciler::IsBatchDue(std::string aModel, std::uint32_t aWeights)
 {
   if (mCompanion.LastState().mModel != aModel) {
-    co_return true; // It serves nothing of this model that could be missed.
+    // It does not serve the model yet, so nothing becomes unavailable.
+    co_return true;
   }
   const auto now = state::BootClock::now();
-  mWaitsSince = mWaitsSince.value_or(now);
-  if (now - *mWaitsSince > kMaxTurnWait) {
+  mWaitingSince = mWaitingSince.value_or(now);
+  if (now - *mWaitingSince > kMaxBatchWait) {
     co_return true;
   }
   std::vector<std::pair<std::uint64_t, std::string>> order;
@@ -232,8 +236,8 @@
     });
   const std::size_t size = (order.size() + kBatches - 1) / kBatches;
   const auto rank = static_cast<std::size_t>(self - order.begin());
-  const std::size_t before = rank / size * size;
-  if (before == 0) {
+  const std::size_t earlier = rank / size * size;
+  if (earlier == 0) {
     co_return true;
   }
   const auto list = co_await mPlatform.List(std::string(kStatusPrefix));
@@ -242,7 +246,7 @@
     co_return false;
   }
   std::size_t changed = 0;
-  for (std::size_t i = 0; i < before; ++i) {
+  for (std::size_t i = 0; i < earlier; ++i) {
     const std::string key = std::string(kStatusPrefix) + order[i].second;
     for (const auto& object : list->mObjects) {
       const auto value = object.mKey == key
@@ -257,7 +261,7 @@
       }
     }
   }
-  co_return changed == before;
+  co_return changed == earlier;
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/event_log.cpp
+++ b/packages/coordination/src/event_log.cpp
@@ -15,16 +15,16 @@
 
 constexpr std::int64_t kMillisPerSecond = 1000;
 
-/// Wall time as text in UTC, with milliseconds.
+/// Formats wall time as UTC with milliseconds.
 std::string
 TimeText(std::int64_t aMillis)
 {
   const std::time_t seconds = aMillis / kMillisPerSecond;
-  std::tm parts{};
-  gmtime_r(&seconds, &parts);
+  std::tm calendar{};
+  gmtime_r(&seconds, &calendar);
   std::array<char, 32> day{};
   std::array<char, 48> text{};
-  std::strftime(day.data(), day.size(), "%Y-%m-%dT%H:%M:%S", &parts);
+  std::strftime(day.data(), day.size(), "%Y-%m-%dT%H:%M:%S", &calendar);
   std::snprintf(text.data(),
                 text.size(),
                 "%s.%03dZ",
@@ -35,14 +35,14 @@
 
 } // namespace
 
-EventLine::EventLine(std::string_view aPart,
+EventLine::EventLine(std::string_view aComponent,
                      std::string_view aEvent,
                      std::string_view aRequestId)
   : mEvent(aEvent)
 {
   mFields.reserve(16);
   mFields["time"] = nullptr;
-  mFields["part"] = aPart;
+  mFields["part"] = aComponent;
   mFields["event"] = aEvent;
   if (!aRequestId.empty()) {
     mFields["request"] = aRequestId;
@@ -71,7 +71,7 @@
 EventLog::Write(EventLine aLine)
 {
   const std::lock_guard lock(mMutex);
-  if (!TakeQuota(aLine.mEvent)) {
+  if (!ConsumeQuota(aLine.mEvent)) {
     ++mDropped;
     return;
   }
@@ -91,7 +91,7 @@
 }
 
 bool
-EventLog::TakeQuota(const std::string& aEvent)
+EventLog::ConsumeQuota(const std::string& aEvent)
 {
   auto& quota = mQuotas[aEvent];
   const std::int64_t second = std::chrono::duration_cast<std::chrono::seconds>(
@@ -135,7 +135,7 @@
     while (!rest.empty()) {
       const auto written = ::write(STDOUT_FILENO, rest.data(), rest.size());
       if (written <= 0) {
-        // Nobody reads any more: there is nowhere left to say so.
+        // Standard output is closed, so the loss can only be counted.
         mDropped += static_cast<std::uint64_t>(
           std::count(rest.begin(), rest.end(), '\n'));
         break;
--- a/packages/coordination/src/fleet_daemon.cpp
+++ b/packages/coordination/src/fleet_daemon.cpp
@@ -31,28 +31,32 @@
 
 using WorkGuard = asio::executor_work_guard<asio::io_context::executor_type>;
 
-constexpr std::string_view kPart = "process";
+constexpr std::string_view kComponent = "process";
 constexpr std::string_view kMetricsPath = "/metrics";
 
-/// Changes of the list are taken together, since each call has a price: a relay
-/// must hear of a leaving endpoint within two seconds, a companion needs little
-/// more than its own engine's entry.
-constexpr Millis kRelayListPause{ 400 };
-constexpr Millis kCompanionListPause{ 2000 };
+/// Pause between watches of the endpoint list, which batches changes because
+/// each call to the store is costly. A relay must learn of a leaving endpoint
+/// within two seconds; a companion needs little more than its own engine's
+/// entry.
+constexpr Millis kRelayListInterval{ 400 };
+constexpr Millis kCompanionListInterval{ 2000 };
 
-/// The balancer asks once a second and leaves after two refusals; until then
-/// new connections still come.
+/// Time in which new connections still arrive: the load balancer polls
+/// readiness once per second and stops sending after two refusals.
 constexpr Millis kStopNotice{ 2600 };
 
-/// From then on new requests are refused: callers that heed the answers' word
-/// have left, and what is taken later might not end within the grace.
+/// Time after which new requests are refused. Callers that respect the notice
+/// in responses have left by then, and a request accepted later might not
+/// finish within the grace period.
 constexpr Millis kRefuseAfter{ 3000 };
 
-/// Share of the grace after which the process ends whatever runs.
-constexpr double kEndShare = 0.94;
+/// Fraction of the grace period after which the process exits, even if requests
+/// are running.
+constexpr double kForcedStopShare = 0.94;
 
-/// How often a process that stops looks whether its requests have ended.
-constexpr Millis kStopPoll{ 25 };
+/// Interval at which a stopping process checks whether its connections have
+/// closed.
+constexpr Millis kStopPollInterval{ 25 };
 
 } // namespace
 
@@ -68,18 +72,18 @@
     , mLog(EventLogSettings{}, mClock)
     , mControlGuard(asio::make_work_guard(mControl))
     , mSignals(mTraffic, SIGTERM, SIGINT, SIGHUP)
-    , mZone(mControl,
-            MakeMirroredPlatformSettings(aSettings, aAdapter.mStoreCodec),
-            aAdapter.mPlatform,
-            mClock,
-            mLog)
+    , mZoneMirror(mControl,
+                  MakeMirroredPlatformSettings(aSettings, aAdapter.mStoreCodec),
+                  aAdapter.mPlatform,
+                  mClock,
+                  mLog)
     , mFeed(mControl,
             FeedSettings(aSettings),
-            mZone.Store(),
+            mZoneMirror.Store(),
             aAdapter.mStoreCodec,
             mClock,
             mLog,
-            mZone.Mirror(),
+            mZoneMirror.Mirror(),
             [this](std::shared_ptr<const RelayView> aView) {
               ApplyView(std::move(aView));
             })
@@ -109,17 +113,17 @@
                          std::string(kMetricsPath),
                          [this] { return PlainAnswer(200, Exposition()); });
     if (!metrics) {
-      // Callers are served without it.
-      mLog.Write(EventLine(kPart, "metrics-unavailable")
+      // Requests can be served without it.
+      mLog.Write(EventLine(kComponent, "metrics-unavailable")
                    .Add("error", metrics.error().Describe()));
     }
     AwaitSignal();
     if (!mSettings.mWatchListen.empty()) {
-      mZone.Start();
+      mZoneMirror.Start();
     }
     mFeed.Start();
     mControlThread = std::thread([this] { mControl.run(); });
-    mLog.Write(EventLine(kPart, "start")
+    mLog.Write(EventLine(kComponent, "start")
                  .Add("name", mSettings.mName)
                  .Add("role", kFleetRoleNames.Name(mSettings.mRole))
                  .Add("zone", mSettings.mZone)
@@ -135,21 +139,21 @@
   }
 
 private:
-  /// On the traffic thread: all metrics as text.
+  /// On the traffic thread: serializes all metrics.
   std::string Exposition()
   {
     mMetrics.Set("shuntjunction_log_lines_dropped",
                  static_cast<double>(mLog.Dropped()));
     mMetrics.Set("shuntjunction_watch_served",
-                 mZone.Store().IsMirrored() ? 1 : 0);
+                 mZoneMirror.Store().IsMirrored() ? 1 : 0);
     for (std::size_t i = 0; i < kStoreCallNames.Size(); ++i) {
       const auto call = static_cast<StoreCall>(i);
       mMetrics.Set("shuntjunction_store_calls",
-                   static_cast<double>(mZone.Store().Calls(call)),
+                   static_cast<double>(mZoneMirror.Store().Calls(call)),
                    { { "call", std::string(kStoreCallNames.Name(call)) } });
     }
     mMetrics.Set("shuntjunction_watch_answers",
-                 static_cast<double>(mZone.Store().MirrorResponses()));
+                 static_cast<double>(mZoneMirror.Store().MirrorResponses()));
     mMetrics.Set("shuntjunction_refused_objects",
                  static_cast<double>(mFeed.RefusedObjects()));
     if (mRelay) {
@@ -161,27 +165,28 @@
   static RelayFeedSettings FeedSettings(const FleetSettings& aSettings)
   {
     RelayFeedSettings feed;
-    // Its returns also tell when the list of endpoints is behind: half of the
-    // bound is left for reading it anew and for what is being sent.
+    // Each return of this watch also reveals whether the endpoint list is
+    // behind. The other half of the bound is left for reading the list again
+    // and for requests that are being sent.
     feed.mConfigWait =
       std::min(state::ConfirmationWait(aSettings.mBounds.mKeyRemoval),
                aSettings.mBounds.mEndpointLeaving / 2);
     feed.mWatchesConfig = aSettings.mRole == FleetRole::kRelay;
     feed.mFollowsQuarantine = feed.mWatchesConfig;
     feed.mListPause = aSettings.mRole == FleetRole::kRelay
-                        ? kRelayListPause
-                        : kCompanionListPause;
+                        ? kRelayListInterval
+                        : kCompanionListInterval;
     return feed;
   }
 
-  /// Begins to answer for the store in this zone, if others ask.
+  /// Starts serving the store's mirror to other processes of the zone.
   Result<void> ServeZone()
   {
     const auto address = state::ParseAddress(mSettings.mWatchListen);
     if (!address) {
       return {};
     }
-    const auto bound = mZone.Serve(*address, mFeed);
+    const auto bound = mZoneMirror.Serve(*address, mFeed);
     if (!bound) {
       return tl::unexpected(bound.error());
     }
@@ -190,9 +195,9 @@
 
   Result<void> StartRelay()
   {
-    mQuarantine =
+    mQuarantineWriter =
       std::make_unique<QuarantineWriter>(QuarantineWriterDependencies{
-        mControl, mZone.Store(), mAdapter.mStoreCodec, mClock, mLog });
+        mControl, mZoneMirror.Store(), mAdapter.mStoreCodec, mClock, mLog });
     mRelay = std::make_unique<Relay>(RelayDependencies{
       mTraffic,
       mSettings,
@@ -228,7 +233,7 @@
       },
       [this](const auto& aRequest, auto aFor) {
         asio::post(mControl, [this, request = aRequest, aFor] {
-          mQuarantine->StoreQuarantine(request, aFor);
+          mQuarantineWriter->StoreQuarantine(request, aFor);
         });
       } });
     const auto address = mRelay->Start();
@@ -283,8 +288,8 @@
     }
     mEngine = MakeControl(*engine);
     FollowEngine();
-    StartStoreTeller();
-    StartKeeper();
+    StartStoreReporter();
+    StartWeightsController();
     return {};
   }
 
@@ -297,7 +302,8 @@
     mNewsServer =
       std::make_unique<EngineNewsServer>(mControl, Identity(), mClock, mLog);
     state::LimitSharesSettings shares;
-    // A relay that hears of no list for longer refuses all keys.
+    // A relay whose list is not confirmed for longer than this refuses all
+    // keys.
     shares.mOwnership.mHandover = mSettings.mBounds.mKeyRemoval;
     shares.mBurstTolerance = mSettings.mBounds.mUsageTolerance / 2;
     mShares = std::make_unique<state::LimitShares>(shares, peers->mHost);
@@ -319,10 +325,10 @@
       mAdapter.mMakeControl(aAddress), mClock, mLog);
   }
 
-  /// Begins to tell the relays of the engine's parts and state.
+  /// Starts reporting the engine's stored parts and state to relays.
   void FollowEngine()
   {
-    mParts = std::make_unique<PartFollower>(
+    mPartFollower = std::make_unique<PartFollower>(
       mControl,
       *mEngine,
       mLog,
@@ -330,46 +336,46 @@
         mNewsServer->ChangeParts(PartHolder::kEngine, aLife, aGained, aLost);
       },
       [this] { mNewsServer->ClearParts(PartHolder::kEngine); });
-    mParts->Start();
-    mWatch = std::make_unique<EngineMonitor>(
+    mPartFollower->Start();
+    mEngineMonitor = std::make_unique<EngineMonitor>(
       mControl, *mEngine, *mNewsServer, [this](const auto& aReport) {
-        mKeeper->ApplyReport(aReport);
+        mWeightsController->ApplyReport(aReport);
       });
-    mWatch->Start();
+    mEngineMonitor->Start();
   }
 
-  void StartStoreTeller()
+  void StartStoreReporter()
   {
-    mStoreTeller =
+    mStoreReporter =
       std::make_unique<PartStoreReporter>(PartStoreReporterDependencies{
         mControl,
         mSettings,
-        mZone.Store(),
+        mZoneMirror.Store(),
         mAdapter.mStoreCodec,
         [this](const auto& aAddress) { return MakeControl(aAddress); },
         *mNewsServer,
         mLog });
-    mStoreTeller->Start();
+    mStoreReporter->Start();
   }
 
-  void StartKeeper()
+  void StartWeightsController()
   {
-    mKeeper = std::make_unique<WeightsController>(
+    mWeightsController = std::make_unique<WeightsController>(
       WeightsControllerDependencies{ mControl,
                                      mSettings,
-                                     mZone.Store(),
+                                     mZoneMirror.Store(),
                                      mAdapter.mStoreCodec,
                                      *mEngine,
                                      *mNewsServer,
                                      mClock,
                                      mLog });
-    mKeeper->Start();
+    mWeightsController->Start();
   }
 
   Result<void> Serve(std::unique_ptr<PathServer>& aServer,
                      const std::string& aAddress,
                      std::string aPath,
-                     std::function<HttpResponse()> aAnswer)
+                     std::function<HttpResponse()> aRespond)
   {
     if (aAddress.empty()) {
       return {};
@@ -379,7 +385,7 @@
       return tl::unexpected(address.error());
     }
     aServer = std::make_unique<PathServer>(
-      mTraffic, std::move(aPath), std::move(aAnswer));
+      mTraffic, std::move(aPath), std::move(aRespond));
     const auto bound = aServer->mServer.Start(*address);
     if (!bound) {
       return tl::unexpected(bound.error());
@@ -387,28 +393,28 @@
     return {};
   }
 
-  /// On the control thread: hands a view to whom it concerns.
+  /// On the control thread: distributes a new view to the components.
   void ApplyView(std::shared_ptr<const RelayView> aView)
   {
-    mZone.ApplyEndpoints(aView->mEndpoints);
-    if (mKeeper) {
-      TakeCompanions(aView->mEndpoints);
-      mStoreTeller->ApplyView(aView);
-      mKeeper->ApplyView(std::move(aView));
+    mZoneMirror.ApplyEndpoints(aView->mEndpoints);
+    if (mWeightsController) {
+      UpdateCompanions(aView->mEndpoints);
+      mStoreReporter->ApplyView(aView);
+      mWeightsController->ApplyView(std::move(aView));
       return;
     }
-    mQuarantine->ApplyView(aView);
+    mQuarantineWriter->ApplyView(aView);
     asio::post(mTraffic, [this, view = std::move(aView)]() mutable {
       const bool wasReady = mRelay->IsReady();
       mNewsClient->Follow(view->mEndpoints);
       mRelay->ApplyView(std::move(view));
       if (!wasReady && mRelay->IsReady()) {
-        mLog.Write(EventLine(kPart, "ready"));
+        mLog.Write(EventLine(kComponent, "ready"));
       }
     });
   }
 
-  void TakeCompanions(const std::vector<state::EndpointInfo>& aEndpoints)
+  void UpdateCompanions(const std::vector<state::EndpointInfo>& aEndpoints)
   {
     std::vector<std::string> hosts;
     for (const auto& [host, zone] : CompanionZones(aEndpoints)) {
@@ -417,7 +423,8 @@
     const auto count = hosts.size();
     if (mShares->SetHosts(std::move(hosts), mClock.Now())) {
       mLimits->ForgetUnowned();
-      mLog.Write(EventLine(kPart, "limit-keepers").Add("companions", count));
+      mLog.Write(
+        EventLine(kComponent, "limit-keepers").Add("companions", count));
     }
   }
 
@@ -428,7 +435,7 @@
         return;
       }
       if (aSignal == SIGHUP) {
-        ReadSettingsAgain();
+        ReloadSettings();
       } else {
         BeginStop();
       }
@@ -436,12 +443,12 @@
     });
   }
 
-  void ReadSettingsAgain()
+  void ReloadSettings()
   {
     const auto settings = mReload();
-    EventLine line(kPart, "reload");
+    EventLine line(kComponent, "reload");
     if (settings) {
-      // Ports and names hold for a process's life; bounds may change.
+      // Ports and names are fixed while the process runs; bounds may change.
       mSettings.mBounds = settings->mBounds;
       line.Add("outcome", "taken");
     } else {
@@ -455,7 +462,7 @@
     if (std::exchange(mIsStopping, true)) {
       return;
     }
-    mLog.Write(EventLine(kPart, "stopping"));
+    mLog.Write(EventLine(kComponent, "stopping"));
     if (!mRelay) {
       mTraffic.stop();
       return;
@@ -466,20 +473,21 @@
 
   Task<void> FinishStop()
   {
-    const auto begun = mClock.Now();
+    const auto startedAt = mClock.Now();
     const auto grace =
       static_cast<double>(mSettings.mBounds.mStopGrace.count());
     const auto after = [&](double aShare) {
-      return begun + Millis(static_cast<std::int64_t>(grace * aShare));
+      return startedAt + Millis(static_cast<std::int64_t>(grace * aShare));
     };
     co_await transport::Sleep(kStopNotice);
-    while (mRelay->Connections() > 0 && mClock.Now() < after(kEndShare)) {
-      if (mClock.Now() >= begun + kRefuseAfter) {
+    while (mRelay->Connections() > 0 &&
+           mClock.Now() < after(kForcedStopShare)) {
+      if (mClock.Now() >= startedAt + kRefuseAfter) {
         mRelay->RefuseNew();
       }
-      co_await transport::Sleep(kStopPoll);
+      co_await transport::Sleep(kStopPollInterval);
     }
-    mLog.Write(EventLine(kPart, "stopped")
+    mLog.Write(EventLine(kComponent, "stopped")
                  .Add("cut", mRelay->Active())
                  .Add("connections", mRelay->Connections()));
     mTraffic.stop();
@@ -495,19 +503,19 @@
   asio::io_context mTraffic{ 1 };
   WorkGuard mControlGuard;
   asio::signal_set mSignals;
-  ZoneMirror mZone;
+  ZoneMirror mZoneMirror;
   RelayFeed mFeed;
-  std::unique_ptr<QuarantineWriter> mQuarantine;
+  std::unique_ptr<QuarantineWriter> mQuarantineWriter;
   std::unique_ptr<Relay> mRelay;
   std::unique_ptr<EngineNewsClient> mNewsClient;
   std::unique_ptr<state::LimitShares> mShares;
   std::unique_ptr<state::EndpointLimits> mLimits;
   std::unique_ptr<EngineNewsServer> mNewsServer;
   std::unique_ptr<EngineControl> mEngine;
-  std::unique_ptr<PartFollower> mParts;
-  std::unique_ptr<EngineMonitor> mWatch;
-  std::unique_ptr<PartStoreReporter> mStoreTeller;
-  std::unique_ptr<WeightsController> mKeeper;
+  std::unique_ptr<PartFollower> mPartFollower;
+  std::unique_ptr<EngineMonitor> mEngineMonitor;
+  std::unique_ptr<PartStoreReporter> mStoreReporter;
+  std::unique_ptr<WeightsController> mWeightsController;
   std::unique_ptr<PathServer> mReadiness;
   std::unique_ptr<PathServer> mMetricsServer;
   bool mIsStopping = false;
--- a/packages/coordination/src/http_platform.cpp
+++ b/packages/coordination/src/http_platform.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// A value holds up to a megabyte; a whole list may hold many.
-constexpr std::size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
+/// A value has up to one megabyte, and a list may contain many.
+constexpr std::size_t kMaxResponseBytes = 64UL * 1024 * 1024;
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kCreated = 201;
@@ -42,7 +42,9 @@
 }
 
 tl::unexpected<state::Error>
-BadAnswer(state::Error aError, std::string_view aStep, const std::string& aPeer)
+InvalidResponse(state::Error aError,
+                std::string_view aStep,
+                const std::string& aPeer)
 {
   aError.mCode = ErrorCode::kProtocol;
   aError.mStep = aStep;
@@ -53,7 +55,7 @@
 } // namespace
 
 HttpPlatform::HttpPlatform(const state::Address& aAddress, Millis aTimeout)
-  : mClient(aAddress, kMaxAnswerBytes)
+  : mClient(aAddress, kMaxResponseBytes)
   , mTimeout(aTimeout)
 {
 }
@@ -63,24 +65,24 @@
                    HttpRequest aRequest,
                    Millis aTimeout)
 {
-  auto answer = co_await mClient.Send(std::move(aRequest), aTimeout);
-  if (!answer) {
-    state::Error error = answer.error();
+  auto response = co_await mClient.Send(std::move(aRequest), aTimeout);
+  if (!response) {
+    state::Error error = response.error();
     error.mStep = aStep;
     co_return tl::unexpected(std::move(error));
   }
   const std::string peer = mClient.Peer().Text();
-  const unsigned status = answer->mStatus;
+  const unsigned status = response->mStatus;
   if (status == kOk || status == kCreated || status == kNoObject ||
       status == kGone) {
-    co_return answer;
+    co_return response;
   }
   const auto code = PlatformErrorOf(status);
   std::string text = "status " + std::to_string(status);
   if (code == ErrorCode::kConflict) {
-    text = answer->mBody;
+    text = response->mBody;
   } else if (code != ErrorCode::kUnavailable) {
-    text += ": " + answer->mBody;
+    text += ": " + response->mBody;
   }
   co_return Fail(code, aStep, peer, text);
 }
@@ -91,20 +93,20 @@
   constexpr std::string_view kStep = "platform.list";
   HttpRequest request;
   request.mTarget = "/v1/objects?prefix=" + aPrefix;
-  const auto answer = co_await Call(kStep, std::move(request), mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  const auto response = co_await Call(kStep, std::move(request), mTimeout);
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
-  const auto value = state::ParseJson(answer->mBody, "list");
+  const auto value = state::ParseJson(response->mBody, "list");
   if (!value) {
-    co_return BadAnswer(value.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(value.error(), kStep, mClient.Peer().Text());
   }
   JsonReader reader(*value, "list");
   ObjectList list;
   list.mRevision = ReadRevision(reader);
   list.mObjects = state::ReadRawObjects(reader, "objects");
   if (const auto done = reader.Finish(); !done) {
-    co_return BadAnswer(done.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(done.error(), kStep, mClient.Peer().Text());
   }
   co_return list;
 }
@@ -115,20 +117,20 @@
   constexpr std::string_view kStep = "platform.read";
   HttpRequest request;
   request.mTarget = "/v1/objects/" + aKey;
-  const auto answer = co_await Call(kStep, std::move(request), mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  const auto response = co_await Call(kStep, std::move(request), mTimeout);
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
-  if (answer->mStatus == kNoObject) {
+  if (response->mStatus == kNoObject) {
     co_return std::optional<RawObject>();
   }
-  const auto value = state::ParseJson(answer->mBody, "object");
+  const auto value = state::ParseJson(response->mBody, "object");
   if (!value) {
-    co_return BadAnswer(value.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(value.error(), kStep, mClient.Peer().Text());
   }
   auto object = ReadObject(*value);
   if (!object) {
-    co_return BadAnswer(object.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(object.error(), kStep, mClient.Peer().Text());
   }
   co_return std::optional<RawObject>(std::move(*object));
 }
@@ -145,18 +147,18 @@
     "/v1/objects/" + aKey + "?if_revision=" + std::to_string(aIfRevision);
   request.mContentType = "application/json";
   request.mBody = std::move(aValue);
-  const auto answer = co_await Call(kStep, std::move(request), mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  const auto response = co_await Call(kStep, std::move(request), mTimeout);
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
-  const auto value = state::ParseJson(answer->mBody, "answer");
+  const auto value = state::ParseJson(response->mBody, "answer");
   if (!value) {
-    co_return BadAnswer(value.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(value.error(), kStep, mClient.Peer().Text());
   }
   JsonReader reader(*value, "answer");
   const std::uint64_t revision = ReadRevision(reader);
   if (const auto done = reader.Finish(); !done) {
-    co_return BadAnswer(done.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(done.error(), kStep, mClient.Peer().Text());
   }
   co_return revision;
 }
@@ -168,10 +170,10 @@
   request.mMethod = "DELETE";
   request.mTarget =
     "/v1/objects/" + aKey + "?if_revision=" + std::to_string(aIfRevision);
-  const auto answer =
+  const auto response =
     co_await Call("platform.delete", std::move(request), mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
   co_return Result<void>{};
 }
@@ -184,25 +186,25 @@
   request.mTarget = "/v1/watch?prefix=" + aPrefix +
                     "&after=" + std::to_string(aAfter) +
                     "&wait_ms=" + std::to_string(aWait.count());
-  const auto answer =
+  const auto response =
     co_await Call(kStep, std::move(request), aWait + mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
   WatchResult watch;
-  if (answer->mStatus == kGone) {
+  if (response->mStatus == kGone) {
     watch.mIsGap = true;
     co_return watch;
   }
-  const auto value = state::ParseJson(answer->mBody, "watch");
+  const auto value = state::ParseJson(response->mBody, "watch");
   if (!value) {
-    co_return BadAnswer(value.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(value.error(), kStep, mClient.Peer().Text());
   }
   JsonReader reader(*value, "watch");
   watch.mRevision = ReadRevision(reader);
   watch.mChanges = state::ReadRawObjects(reader, "changes");
   if (const auto done = reader.Finish(); !done) {
-    co_return BadAnswer(done.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(done.error(), kStep, mClient.Peer().Text());
   }
   co_return watch;
 }
@@ -214,21 +216,21 @@
   HttpRequest request;
   request.mTarget = "/v1/instances?after=" + std::to_string(aAfter) +
                     "&wait_ms=" + std::to_string(aWait.count());
-  const auto answer =
+  const auto response =
     co_await Call(kStep, std::move(request), aWait + mTimeout);
-  if (!answer) {
-    co_return tl::unexpected(answer.error());
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
-  const auto value = state::ParseJson(answer->mBody, "instances");
+  const auto value = state::ParseJson(response->mBody, "instances");
   if (!value) {
-    co_return BadAnswer(value.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(value.error(), kStep, mClient.Peer().Text());
   }
   JsonReader reader(*value, "instances");
   InstanceList list;
   list.mRevision = ReadRevision(reader);
   list.mInstances = ReadInstances(reader);
   if (const auto done = reader.Finish(); !done) {
-    co_return BadAnswer(done.error(), kStep, mClient.Peer().Text());
+    co_return InvalidResponse(done.error(), kStep, mClient.Peer().Text());
   }
   co_return list;
 }
--- a/packages/coordination/src/log.cpp
+++ b/packages/coordination/src/log.cpp
@@ -19,7 +19,7 @@
 constexpr auto* kTextPattern =
   LOG4CPLUS_TEXT("%D{%Y-%m-%dT%H:%M:%S.%qZ} %-5p %m%n");
 
-/// One JSON object a line.
+/// Writes one JSON object per line.
 class JsonLayout final : public log4cplus::Layout
 {
 public:
@@ -79,9 +79,9 @@
   root.setLogLevel(ToLog4cplus(aLevel));
 }
 
-Log::Log(std::string aPart)
-  : mPart(std::move(aPart))
-  , mLogger(log4cplus::Logger::getInstance(mPart))
+Log::Log(std::string aComponent)
+  : mComponent(std::move(aComponent))
+  , mLogger(log4cplus::Logger::getInstance(mComponent))
 {
 }
 
@@ -93,7 +93,7 @@
   if (!mLogger.isEnabledFor(aLevel)) {
     return;
   }
-  std::string line = mPart + ": ";
+  std::string line = mComponent + ": ";
   if (!aRequestId.empty()) {
     line += "[" + std::string(aRequestId) + "] ";
     log4cplus::getMDC().put("request", std::string(aRequestId));
--- a/packages/coordination/src/metrics.cpp
+++ b/packages/coordination/src/metrics.cpp
@@ -21,9 +21,9 @@
 };
 
 const std::array<double, Histogram::kBuckets>&
-BoundsOf(RequestMetric aMeasure)
+BoundsOf(RequestMetric aMetric)
 {
-  switch (aMeasure) {
+  switch (aMetric) {
     case RequestMetric::kCachedShare:
       return kShareBounds;
     case RequestMetric::kRecomputed:
@@ -96,18 +96,19 @@
 }
 
 void
-Metrics::Observe(RequestMetric aMeasure,
+Metrics::Observe(RequestMetric aMetric,
                  std::string_view aTeam,
                  state::Priority aPriority,
                  double aValue)
 {
-  auto& histograms = mRequests[static_cast<std::size_t>(aMeasure)];
+  auto& histograms = mRequestHistograms[static_cast<std::size_t>(aMetric)];
   RequestKey key{ std::string(aTeam), aPriority };
-  const std::size_t most = kMaxMeasuredTeams * state::kPriorityCount;
-  if (histograms.size() >= most && !histograms.contains(key)) {
+  const std::size_t maxHistograms =
+    kMaxTeamsWithHistograms * state::kPriorityCount;
+  if (histograms.size() >= maxHistograms && !histograms.contains(key)) {
     key.mTeam = "other";
   }
-  histograms.try_emplace(std::move(key), BoundsOf(aMeasure))
+  histograms.try_emplace(std::move(key), BoundsOf(aMetric))
     .first->second.Add(aValue);
 }
 
@@ -151,10 +152,10 @@
     FamilyOf(families, series.mName, prometheus::MetricType::Gauge)
       .metric.push_back(std::move(metric));
   }
-  for (std::size_t i = 0; i < mRequests.size(); ++i) {
+  for (std::size_t i = 0; i < mRequestHistograms.size(); ++i) {
     const std::string name(
       kRequestMetricNames.Name(static_cast<RequestMetric>(i)));
-    for (const auto& [key, histogram] : mRequests[i]) {
+    for (const auto& [key, histogram] : mRequestHistograms[i]) {
       auto metric = WithLabels(
         { { "team", key.mTeam },
           { "class",
--- a/packages/coordination/src/mirrored_platform.cpp
+++ b/packages/coordination/src/mirrored_platform.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr std::string_view kPart = "watch";
+constexpr std::string_view kComponent = "watch";
 
-/// A process that nobody asked for so long follows the store as before: the
-/// zone's watchers are others by now.
-constexpr Millis kAskedFor{ 10000 };
+/// A process that received no request for this long stops serving and follows
+/// the store as before: by then the zone's watchers are other processes.
+constexpr Millis kServingTimeout{ 10000 };
 
 } // namespace
 
@@ -69,14 +69,14 @@
 void
 MirroredPlatform::NoteRequest()
 {
-  mAskedAt = mClock.Now();
-  SetServed(false);
+  mLastRequestAt = mClock.Now();
+  SetMirrored(false);
 }
 
 bool
 MirroredPlatform::HasRecentRequests() const
 {
-  return mAskedAt && mClock.Now() - *mAskedAt < kAskedFor;
+  return mLastRequestAt && mClock.Now() - *mLastRequestAt < kServingTimeout;
 }
 
 void
@@ -85,141 +85,142 @@
   ++mCalls[static_cast<std::size_t>(aCall)];
 }
 
-// Asking.
+// Querying watchers.
 
 Task<void>
 MirroredPlatform::Run()
 {
   while (true) {
     const auto outcome = co_await QueryWatchers();
-    SetServed(outcome == AskOutcome::kServed && !HasRecentRequests());
+    SetMirrored(outcome == QueryOutcome::kUpdated && !HasRecentRequests());
     co_await transport::Sleep(state::JitteredPause(
-      outcome == AskOutcome::kSilent ? mSettings.mFallbackDuration
-                                     : mSettings.mAskInterval,
+      outcome == QueryOutcome::kNoResponse ? mSettings.mFallbackDuration
+                                           : mSettings.mAskInterval,
       mRandom));
   }
 }
 
-Task<MirroredPlatform::AskOutcome>
+Task<MirroredPlatform::QueryOutcome>
 MirroredPlatform::QueryWatchers()
 {
-  auto outcome = AskOutcome::kNobody;
+  auto outcome = QueryOutcome::kNoWatcher;
   const auto watchers = mWatchers;
   for (const auto& watcher : watchers) {
     if (mIsWatcher || HasRecentRequests()) {
-      co_return AskOutcome::kNobody;
+      co_return QueryOutcome::kNoWatcher;
     }
-    const auto answered = co_await Ask(watcher);
-    outcome = std::max(outcome, answered);
-    if (outcome == AskOutcome::kServed) {
+    const auto watcherOutcome = co_await QueryWatcher(watcher);
+    outcome = std::max(outcome, watcherOutcome);
+    if (outcome == QueryOutcome::kUpdated) {
       break;
     }
   }
   co_return outcome;
 }
 
-Task<MirroredPlatform::AskOutcome>
-MirroredPlatform::Ask(std::string aAddress)
+Task<MirroredPlatform::QueryOutcome>
+MirroredPlatform::QueryWatcher(std::string aAddress)
 {
-  // What these two count is up to who is asked: here a mirror's pages.
+  // The meaning of these two fields depends on the peer: here they are the
+  // sequence and the epoch of a mirror.
   protocol::SnapshotRequest request;
   request.mHave = mSequence;
   request.mHaveInstances = mEpoch;
-  const auto askedAt = mClock.Now();
+  const auto requestedAt = mClock.Now();
   const auto reply = co_await mClient.Ask(aAddress, request);
   if (!reply) {
-    co_return AskOutcome::kSilent;
+    co_return QueryOutcome::kNoResponse;
   }
-  const auto page = state::ReadMirrorUpdate(reply->mText, aAddress);
-  if (!page) {
-    mLog.Write(
-      EventLine(kPart, "page-refused").Add("error", page.error().Describe()));
-    co_return AskOutcome::kSilent;
+  const auto update = state::ReadMirrorUpdate(reply->mText, aAddress);
+  if (!update) {
+    mLog.Write(EventLine(kComponent, "page-refused")
+                 .Add("error", update.error().Describe()));
+    co_return QueryOutcome::kNoResponse;
   }
-  if (!IsFresh(*page)) {
-    co_return AskOutcome::kStale;
+  if (!IsFresh(*update)) {
+    co_return QueryOutcome::kStale;
   }
-  mMirror.Apply(*page, askedAt, mClock.Now());
-  mEpoch = page->mEpoch;
-  mSequence = page->mSequence;
-  ++mAnswers;
-  WakeWaiting();
-  co_return AskOutcome::kServed;
+  mMirror.Apply(*update, requestedAt, mClock.Now());
+  mEpoch = update->mEpoch;
+  mSequence = update->mSequence;
+  ++mMirrorResponses;
+  WakeWaiters();
+  co_return QueryOutcome::kUpdated;
 }
 
 bool
-MirroredPlatform::IsFresh(const MirrorUpdate& aPage) const
+MirroredPlatform::IsFresh(const MirrorUpdate& aUpdate) const
 {
   const auto isKnown = [&](const std::string& aPrefix) {
-    const auto* topic = aPage.Topic(aPrefix);
+    const auto* topic = aUpdate.Topic(aPrefix);
     return topic != nullptr && topic->mKnownRevision != 0;
   };
   const auto& prefixes = mSettings.mPrefixes;
-  const auto* confirmed = aPage.Topic(mSettings.mConfirmed);
+  const auto* confirmed = aUpdate.Topic(mSettings.mConfirmed);
   return std::all_of(prefixes.begin(), prefixes.end(), isKnown) &&
          confirmed != nullptr && confirmed->mAge < mSettings.mMaxAge;
 }
 
 void
-MirroredPlatform::SetServed(bool aIsServed)
+MirroredPlatform::SetMirrored(bool aIsMirrored)
 {
-  if (mIsServed.exchange(aIsServed) == aIsServed) {
+  if (mIsMirrored.exchange(aIsMirrored) == aIsMirrored) {
     return;
   }
   mLog.Write(
-    EventLine(kPart, !aIsServed ? "watchers-lost" : "watchers-regained")
+    EventLine(kComponent, !aIsMirrored ? "watchers-lost" : "watchers-regained")
       .Add("watchers", mWatchers.size()));
-  WakeWaiting();
+  WakeWaiters();
 }
 
-// Waiting.
+// Waiting for updates.
 
 void
-MirroredPlatform::WakeWaiting()
+MirroredPlatform::WakeWaiters()
 {
-  for (auto& timer : mWaiting) {
+  for (auto& timer : mWaiters) {
     timer.cancel();
   }
 }
 
 Task<void>
-MirroredPlatform::WaitForNews(TimePoint aUntil)
+MirroredPlatform::WaitForUpdate(TimePoint aUntil)
 {
-  const auto timer = mWaiting.emplace(mWaiting.end(), mContext, aUntil);
+  const auto timer = mWaiters.emplace(mWaiters.end(), mContext, aUntil);
   co_await timer->async_wait(transport::kAsTuple);
-  mWaiting.erase(timer);
+  mWaiters.erase(timer);
 }
 
 bool
-MirroredPlatform::IsServedFor(std::string_view aPrefix) const
+MirroredPlatform::IsPrefixMirrored(std::string_view aPrefix) const
 {
-  return mIsServed && mMirror.Topic(aPrefix) != nullptr;
+  return mIsMirrored && mMirror.Topic(aPrefix) != nullptr;
 }
 
 MirrorFreshness
-MirroredPlatform::Source(const MirroredTopic& aTopic) const
+MirroredPlatform::FreshnessOf(const MirroredTopic& aTopic) const
 {
   return { aTopic.mAsOf, mMirror.LastPlatformFailure() };
 }
 
-// Calls.
+// Platform calls.
 
 std::optional<ObjectList>
-MirroredPlatform::ListHere(std::string_view aPrefix) const
+MirroredPlatform::ListFromMirror(std::string_view aPrefix) const
 {
-  if (!IsServedFor(aPrefix)) {
+  if (!IsPrefixMirrored(aPrefix)) {
     return std::nullopt;
   }
   const auto& topic = *mMirror.Topic(aPrefix);
   return ObjectList{ topic.mKnownRevision,
                      mMirror.List(aPrefix, mClock.Now()),
-                     Source(topic) };
+                     FreshnessOf(topic) };
 }
 
 Task<Result<ObjectList>>
 MirroredPlatform::List(std::string aPrefix)
 {
-  if (auto list = ListHere(aPrefix)) {
+  if (auto list = ListFromMirror(aPrefix)) {
     co_return std::move(*list);
   }
   Count(StoreCall::kList);
@@ -229,7 +230,7 @@
 Task<Result<ObjectList>>
 MirroredPlatform::ListCached(std::string aPrefix)
 {
-  if (auto list = ListHere(aPrefix)) {
+  if (auto list = ListFromMirror(aPrefix)) {
     co_return std::move(*list);
   }
   Count(StoreCall::kListCached);
@@ -239,33 +240,33 @@
 Task<Result<WatchResult>>
 MirroredPlatform::Watch(std::string aPrefix, std::uint64_t aAfter, Millis aWait)
 {
-  if (!IsServedFor(aPrefix)) {
+  if (!IsPrefixMirrored(aPrefix)) {
     Count(StoreCall::kWatch);
     co_return co_await mStore.Watch(std::move(aPrefix), aAfter, aWait);
   }
   const auto until = mClock.Now() + aWait;
-  const auto answers = mAnswers.load();
-  WatchResult answer;
-  answer.mRevision = aAfter;
-  while (IsServedFor(aPrefix)) {
+  const auto responsesBefore = mMirrorResponses.load();
+  WatchResult result;
+  result.mRevision = aAfter;
+  while (IsPrefixMirrored(aPrefix)) {
     const auto now = mClock.Now();
     const auto& topic = *mMirror.Topic(aPrefix);
     auto changes = mMirror.ChangesAfter(aPrefix, aAfter, now);
-    answer.mIsGap = !changes;
-    answer.mRevision = std::max(aAfter, topic.mKnownRevision);
-    answer.mMirrorFreshness = Source(topic);
+    result.mIsGap = !changes;
+    result.mRevision = std::max(aAfter, topic.mKnownRevision);
+    result.mMirrorFreshness = FreshnessOf(topic);
     const bool isConfirmed =
-      mAnswers != answers && aPrefix == mSettings.mConfirmed;
+      mMirrorResponses != responsesBefore && aPrefix == mSettings.mConfirmed;
     if (!changes || !changes->empty()) {
-      answer.mChanges = changes ? std::move(*changes) : answer.mChanges;
+      result.mChanges = changes ? std::move(*changes) : result.mChanges;
       break;
     }
     if (isConfirmed || topic.mKnownRevision > aAfter || now >= until) {
       break;
     }
-    co_await WaitForNews(until);
+    co_await WaitForUpdate(until);
   }
-  co_return answer;
+  co_return result;
 }
 
 Task<Result<std::optional<RawObject>>>
@@ -300,7 +301,7 @@
 void
 MirroredPlatform::AbandonCalls()
 {
-  WakeWaiting();
+  WakeWaiters();
   mStore.AbandonCalls();
 }
 
--- a/packages/coordination/src/part_store_reporter.cpp
+++ b/packages/coordination/src/part_store_reporter.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// Companions that follow each store: one may be lost.
-constexpr std::size_t kTellersOfStore = 2;
+/// Companions that follow each store, so that one may fail.
+constexpr std::size_t kReportersPerStore = 2;
 
-/// Stores that are followed at most; each has its tellers.
-constexpr std::size_t kMostStores = 8;
+/// Maximum number of stores that are followed, each by its own reporters.
+constexpr std::size_t kMaxStores = 8;
 
-/// How often a companion looks whether it is one of them.
-constexpr Millis kLookInterval{ 1000 };
+/// Interval at which a companion checks whether it is selected.
+constexpr Millis kSelectionInterval{ 1000 };
 
-/// How often it reads a configuration again that named no store: each reading
-/// has a price, and most that name none never will.
-constexpr Millis kNoStoreInterval{ 10000 };
+/// Interval at which a configuration that named no store is read again. Each
+/// read is costly, and most configurations without a store never get one.
+constexpr Millis kNoStoreRetryInterval{ 10000 };
 
 } // namespace
 
 PartStoreReporter::PartStoreReporter(
-  const PartStoreReporterDependencies& aParts)
-  : mParts(aParts)
+  const PartStoreReporterDependencies& aDependencies)
+  : mDependencies(aDependencies)
 {
 }
 
 void
 PartStoreReporter::Start()
 {
-  transport::Spawn(mParts.mContext, Run());
+  transport::Spawn(mDependencies.mContext, Run());
 }
 
 void
@@ -47,7 +47,7 @@
 std::optional<std::size_t>
 PartStoreReporter::Rank() const
 {
-  const auto& own = mParts.mSettings.mEngine;
+  const auto& own = mDependencies.mSettings.mEngine;
   const auto hash = state::PlacementHash(own);
   bool isListed = false;
   std::size_t ahead = 0;
@@ -65,9 +65,9 @@
 PartStoreReporter::Run()
 {
   while (!mFollower) {
-    co_await transport::Sleep(kLookInterval);
+    co_await transport::Sleep(kSelectionInterval);
     const auto rank = Rank();
-    if (!rank || *rank >= kTellersOfStore * kMostStores) {
+    if (!rank || *rank >= kReportersPerStore * kMaxStores) {
       continue;
     }
     const auto address = co_await FindStore(*rank);
@@ -76,21 +76,22 @@
     }
     const auto parsed = state::ParseAddress(*address);
     if (!parsed) {
-      co_await transport::Sleep(kNoStoreInterval);
+      co_await transport::Sleep(kNoStoreRetryInterval);
       continue;
     }
-    mParts.mNews.SetStore(*address);
-    mStore = mParts.mMakeControl(*parsed);
+    mDependencies.mNews.SetStore(*address);
+    mStore = mDependencies.mMakeControl(*parsed);
     mFollower = std::make_unique<PartFollower>(
-      mParts.mContext,
+      mDependencies.mContext,
       *mStore,
-      mParts.mLog,
+      mDependencies.mLog,
       [this](auto aLife, const auto& aGained, const auto& aLost) {
-        mParts.mNews.ChangeParts(PartHolder::kStore, aLife, aGained, aLost);
+        mDependencies.mNews.ChangeParts(
+          PartHolder::kStore, aLife, aGained, aLost);
       },
-      [this] { mParts.mNews.ClearParts(PartHolder::kStore); });
+      [this] { mDependencies.mNews.ClearParts(PartHolder::kStore); });
     mFollower->Start();
-    mParts.mLog.Write(
+    mDependencies.mLog.Write(
       EventLine("parts", "tells-of-store").Add("store", *address));
   }
 }
@@ -99,22 +100,22 @@
 PartStoreReporter::FindStore(std::size_t aRank)
 {
   const auto list =
-    co_await mParts.mPlatform.List(mParts.mCodec.ConfigPrefix());
+    co_await mDependencies.mPlatform.List(mDependencies.mCodec.ConfigPrefix());
   if (!list) {
     co_return std::nullopt;
   }
   for (const auto& object : list->mObjects) {
-    if (!mParts.mCodec.IsConfig(object.mKey)) {
+    if (!mDependencies.mCodec.IsConfig(object.mKey)) {
       continue;
     }
-    const auto rules = mParts.mCodec.ReadRules(object.mValue);
+    const auto rules = mDependencies.mCodec.ReadRules(object.mValue);
     if (rules) {
       const auto& stores = rules->mKvStores;
-      const std::size_t tellers =
-        kTellersOfStore * std::min(stores.size(), kMostStores);
+      const std::size_t reporters =
+        kReportersPerStore * std::min(stores.size(), kMaxStores);
       std::string address;
-      if (aRank < tellers) {
-        address = stores[aRank / kTellersOfStore].mAddress;
+      if (aRank < reporters) {
+        address = stores[aRank / kReportersPerStore].mAddress;
       }
       co_return address;
     }
