--- a/packages/coordination/src/peer_link.cpp
+++ b/packages/coordination/src/peer_link.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Silence after which an open link is probed, and after which it is dead.
-constexpr Millis kQuiet{ 500 };
-constexpr Millis kDead{ 2000 };
+/// Silence after which a link is probed, and after which it is considered dead.
+constexpr Millis kProbeAfter{ 500 };
+constexpr Millis kDeadAfter{ 2000 };
 
-/// Id of probes that serve as heartbeats; no attempt has it.
+/// Stream id of heartbeat probes; attempts never use it.
 constexpr protocol::StreamId kHeartbeatId = 0;
 
-/// The attempt that a message belongs to; kHeartbeatId when to none.
+/// Stream id of the attempt that a message belongs to; kHeartbeatId if none.
 protocol::StreamId
 StreamOf(const Message& aMessage)
 {
@@ -75,8 +75,8 @@
   , mListener(aListener)
   , mCounters(aCounters)
   , mClock(aClock)
-  , mHeardAt(aClock.Now())
-  , mUsedAt(aClock.Now())
+  , mLastReceivedAt(aClock.Now())
+  , mLastUsedAt(aClock.Now())
 {
 }
 
@@ -84,13 +84,13 @@
 PeerLink::Ready()
 {
   const auto self = shared_from_this();
-  mUsedAt = mClock.Now();
+  mLastUsedAt = mClock.Now();
   if (IsOpen()) {
     co_return Result<void>{};
   }
   auto waiting = std::make_shared<transport::Mailbox<Result<void>>>(
     co_await asio::this_coro::executor);
-  mWaiting.push_back(waiting);
+  mWaiters.push_back(waiting);
   if (!mIsConnecting) {
     mIsConnecting = true;
     transport::Spawn(mContext, Connect());
@@ -114,14 +114,14 @@
   Result<void> outcome;
   if (channel) {
     mChannel = *channel;
-    mHeardAt = mClock.Now();
+    mLastReceivedAt = mClock.Now();
     mListener.OnPeerOpen(mEndpoint);
     mListener.OnPeerVersion(mEndpoint, mChannel->PeerConfigVersion());
     transport::Spawn(mContext, Read(mChannel));
   } else {
     outcome = tl::unexpected(channel.error());
   }
-  const auto waiting = std::exchange(mWaiting, {});
+  const auto waiting = std::exchange(mWaiters, {});
   for (const auto& mailbox : waiting) {
     mailbox->Push(outcome);
   }
@@ -135,11 +135,11 @@
     auto message = co_await aChannel->Receive();
     if (!message) {
       if (mChannel == aChannel) {
-        Down(message.error().mText);
+        Disconnect(message.error().mText);
       }
       co_return;
     }
-    mHeardAt = mClock.Now();
+    mLastReceivedAt = mClock.Now();
     Dispatch(std::move(*message));
   }
 }
@@ -175,11 +175,11 @@
 PeerLink::Open(std::shared_ptr<AttemptMailbox> aMailbox)
 {
   if (mAttempts.empty()) {
-    mHeardAt = mClock.Now(); // Silence counts from here on.
+    mLastReceivedAt = mClock.Now(); // Measure silence from now on.
   }
   const protocol::StreamId id = ++mNextId;
   mAttempts.emplace(id, std::move(aMailbox));
-  mUsedAt = mClock.Now();
+  mLastUsedAt = mClock.Now();
   return id;
 }
 
@@ -187,7 +187,7 @@
 PeerLink::Close(protocol::StreamId aId)
 {
   mAttempts.erase(aId);
-  mUsedAt = mClock.Now();
+  mLastUsedAt = mClock.Now();
 }
 
 void
@@ -205,13 +205,13 @@
 }
 
 void
-PeerLink::Down(std::string_view aWhy)
+PeerLink::Disconnect(std::string_view aReason)
 {
   const auto channel = std::exchange(mChannel, nullptr);
   channel->Close();
   const auto attempts = std::exchange(mAttempts, {});
   for (const auto& [id, mailbox] : attempts) {
-    mailbox->Push(AttemptEvent(LinkDown{ std::string(aWhy) }));
+    mailbox->Push(AttemptEvent(LinkDown{ std::string(aReason) }));
   }
 }
 
@@ -222,14 +222,14 @@
     return;
   }
   if (mAttempts.empty()) {
-    if (aNow - mUsedAt > mSettings.mRouter.mIdlePeerTimeout) {
-      Down("idle");
+    if (aNow - mLastUsedAt > mSettings.mRouter.mIdlePeerTimeout) {
+      Disconnect("idle");
     }
     return;
   }
-  if (aNow - mHeardAt > kDead) {
-    Down("the companion is silent");
-  } else if (aNow - mHeardAt > kQuiet) {
+  if (aNow - mLastReceivedAt > kDeadAfter) {
+    Disconnect("the companion is silent");
+  } else if (aNow - mLastReceivedAt > kProbeAfter) {
     Send(protocol::Probe{ kHeartbeatId });
   }
 }
--- a/packages/coordination/src/platform.cpp
+++ b/packages/coordination/src/platform.cpp
@@ -33,7 +33,7 @@
   if (aStatus == kTooMany || aStatus == kServiceDown) {
     return state::ErrorCode::kUnavailable;
   }
-  // Any other server error leaves the effect open.
+  // After any other server error, the effect is unknown.
   return aStatus >= kServerError ? state::ErrorCode::kTimeout
                                  : state::ErrorCode::kInvalidArgument;
 }
--- a/packages/coordination/src/quarantine_writer.cpp
+++ b/packages/coordination/src/quarantine_writer.cpp
@@ -15,25 +15,26 @@
 
 namespace {
 
-constexpr std::string_view kPart = "quarantine";
+constexpr std::string_view kComponent = "quarantine";
 
-/// Pauses between two writes of one entry while the store takes none.
+/// Pauses between attempts to write an entry while the store is unavailable.
 constexpr Millis kFirstPause{ 200 };
-constexpr Millis kLongestPause{ 5000 };
+constexpr Millis kMaxPause{ 5000 };
 
-/// Entries that wait for the store; beyond that a restarted relay has to see
-/// three crashes again.
-constexpr std::size_t kMostPending = 256;
+/// Maximum number of entries that wait for the store. For entries beyond it, a
+/// restarted relay has to see three crashes again.
+constexpr std::size_t kMaxPending = 256;
 
-/// Entries that are over which one write deletes: two calls more at the most.
-constexpr int kMostDeletes = 2;
+/// Maximum number of expired entries that one write deletes, i.e. additional
+/// calls.
+constexpr int kMaxDeletes = 2;
 
 } // namespace
 
 struct QuarantineWriter::Shared : std::enable_shared_from_this<Shared>
 {
-  explicit Shared(const QuarantineWriterDependencies& aParts)
-    : mParts(aParts)
+  explicit Shared(const QuarantineWriterDependencies& aDependencies)
+    : mDependencies(aDependencies)
   {
   }
 
@@ -41,40 +42,40 @@
   {
     const auto self = shared_from_this();
     Millis pause = kFirstPause;
-    while (mParts.mClock.WallMillis() < aUntil) {
+    while (mDependencies.mClock.WallMillis() < aUntil) {
       const auto written = co_await Write(aRequest, aUntil);
       if (written) {
-        mParts.mLog.Write(EventLine(kPart, "quarantine-kept")
-                            .Add("content", aRequest.Text())
-                            .Add("until", aUntil));
-        co_await DeleteSomeOver();
+        mDependencies.mLog.Write(EventLine(kComponent, "quarantine-kept")
+                                   .Add("content", aRequest.Text())
+                                   .Add("until", aUntil));
+        co_await DeleteExpired();
         break;
       }
-      mParts.mLog.Write(EventLine(kPart, "quarantine-unkept")
-                          .Add("content", aRequest.Text())
-                          .Add("error", written.error().Describe()));
+      mDependencies.mLog.Write(EventLine(kComponent, "quarantine-unkept")
+                                 .Add("content", aRequest.Text())
+                                 .Add("error", written.error().Describe()));
       co_await transport::Sleep(state::JitteredPause(pause, mRandom));
-      pause = std::min(pause * 2, kLongestPause);
+      pause = std::min(pause * 2, kMaxPause);
     }
     mPending.erase(aRequest);
   }
 
-  /// Writes an entry, in the place of one that ends earlier if there is one.
+  /// Writes an entry, or replaces an existing one that expires earlier.
   Task<Result<void>> Write(RequestDigest aRequest, std::int64_t aUntil)
   {
-    const auto key = mParts.mCodec.QuarantinePrefix() + aRequest.Text();
-    const auto text = mParts.mCodec.WriteQuarantine(aUntil);
-    auto written = co_await mParts.mPlatform.Write(key, text, 0);
+    const auto key = mDependencies.mCodec.QuarantinePrefix() + aRequest.Text();
+    const auto text = mDependencies.mCodec.WriteQuarantine(aUntil);
+    auto written = co_await mDependencies.mPlatform.Write(key, text, 0);
     if (!written && written.error().mCode == ErrorCode::kConflict) {
-      const auto there = co_await mParts.mPlatform.Read(key);
-      if (!there) {
-        co_return tl::unexpected(there.error());
+      const auto existing = co_await mDependencies.mPlatform.Read(key);
+      if (!existing) {
+        co_return tl::unexpected(existing.error());
       }
-      if (IsAsGood(*there, aUntil)) {
+      if (IsEquivalent(*existing, aUntil)) {
         co_return Result<void>{};
       }
-      const auto revision = *there ? (*there)->mRevision : 0;
-      written = co_await mParts.mPlatform.Write(key, text, revision);
+      const auto revision = *existing ? (*existing)->mRevision : 0;
+      written = co_await mDependencies.mPlatform.Write(key, text, revision);
     }
     if (!written) {
       co_return tl::unexpected(written.error());
@@ -82,63 +83,69 @@
     co_return Result<void>{};
   }
 
-  /// Whether another relay wrote the same, some moments apart.
-  bool IsAsGood(const std::optional<state::RawObject>& aThere,
-                std::int64_t aUntil) const
+  /// Whether another relay has already written an entry with about the same
+  /// expiry.
+  bool IsEquivalent(const std::optional<state::RawObject>& aExisting,
+                    std::int64_t aUntil) const
   {
-    if (!aThere) {
+    if (!aExisting) {
       return false;
     }
     constexpr std::int64_t kSlack = 60'000;
-    const auto kept =
-      mParts.mCodec.ReadQuarantine(aThere->mKey, aThere->mValue);
-    return kept && kept->mUntilMillis + kSlack >= aUntil;
+    const auto entry =
+      mDependencies.mCodec.ReadQuarantine(aExisting->mKey, aExisting->mValue);
+    return entry && entry->mUntilMillis + kSlack >= aUntil;
   }
 
-  Task<void> DeleteSomeOver()
+  Task<void> DeleteExpired()
   {
     const auto view = mView;
     if (!view) {
       co_return;
     }
-    const auto now = mParts.mClock.WallMillis();
+    const auto now = mDependencies.mClock.WallMillis();
     int deletes = 0;
-    for (const auto& [request, kept] : view->mQuarantined) {
-      if (kept.mUntilMillis >= now) {
+    for (const auto& [request, entry] : view->mQuarantined) {
+      if (entry.mUntilMillis >= now) {
         continue;
       }
-      // Somebody else may have deleted or renewed it: then nothing is lost.
-      co_await mParts.mPlatform.Delete(
-        mParts.mCodec.QuarantinePrefix() + request.Text(), kept.mRevision);
-      if (++deletes >= kMostDeletes) {
+      // The delete fails if another relay has deleted or renewed the entry;
+      // that does no harm.
+      co_await mDependencies.mPlatform.Delete(
+        mDependencies.mCodec.QuarantinePrefix() + request.Text(),
+        entry.mRevision);
+      if (++deletes >= kMaxDeletes) {
         co_return;
       }
     }
   }
 
-  QuarantineWriterDependencies mParts;
+  QuarantineWriterDependencies mDependencies;
   std::shared_ptr<const RelayView> mView;
   std::set<RequestDigest> mPending;
   state::RandomSource mRandom{ std::random_device{}() };
 };
 
-QuarantineWriter::QuarantineWriter(const QuarantineWriterDependencies& aParts)
-  : mShared(std::make_shared<Shared>(aParts))
+QuarantineWriter::QuarantineWriter(
+  const QuarantineWriterDependencies& aDependencies)
+  : mShared(std::make_shared<Shared>(aDependencies))
 {
 }
 
 QuarantineWriter::~QuarantineWriter() = default;
 
 void
-QuarantineWriter::StoreQuarantine(const RequestDigest& aRequest, Millis aFor)
+QuarantineWriter::StoreQuarantine(const RequestDigest& aRequest,
+                                  Millis aDuration)
 {
   auto& shared = *mShared;
-  if (shared.mPending.size() >= kMostPending ||
+  if (shared.mPending.size() >= kMaxPending ||
       !shared.mPending.insert(aRequest).second) {
     return;
   }
-  const auto until = shared.mParts.mClock.WallMillis() + aFor.count();
-  transport::Spawn(shared.mParts.mContext,
+  const auto until =
+    shared.mDependencies.mClock.WallMillis() + aDuration.count();
+  transport::Spawn(shared.mDependencies.mContext,
                    shared.StoreQuarantine(aRequest, until));
 }
 
--- a/packages/coordination/src/router.cpp
+++ b/packages/coordination/src/router.cpp
@@ -21,30 +21,30 @@
 
 namespace {
 
-constexpr Millis kLinkTick{ 250 };
+constexpr Millis kLinkTickInterval{ 250 };
 constexpr std::string_view kServicesPath = "/services/";
 
 } // namespace
 
-/// An endpoint and its answer to a probe.
-struct Router::Probed
+/// An endpoint and its reply to a probe.
+struct Router::ProbeResult
 {
   EndpointHandle mHandle;
   bool mHasReplied = false;
   protocol::ProbeReply mReply;
 };
 
-/// Probes that are out together.
+/// Probes that are sent and awaited together.
 struct Router::ProbeRound
 {
   explicit ProbeRound(const asio::any_io_executor& aExecutor)
-    : mNews(aExecutor)
+    : mSettled(aExecutor)
   {
   }
 
-  std::vector<Probed> mProbed;
-  transport::Mailbox<bool> mNews; ///< one a probe that is settled
-  TimePoint mUntil;
+  std::vector<ProbeResult> mResults;
+  transport::Mailbox<bool> mSettled; ///< one message per completed probe
+  TimePoint mDeadline;
 };
 
 Router::Router(asio::io_context& aContext,
@@ -74,7 +74,7 @@
   transport::Spawn(mContext, TickLinks());
 }
 
-// What the control thread brings.
+// Configuration and gauges.
 
 void
 Router::ApplyConfig(PublishedConfig aConfig)
@@ -145,12 +145,12 @@
 Router::TickLinks()
 {
   while (true) {
-    co_await transport::Sleep(kLinkTick);
+    co_await transport::Sleep(kLinkTickInterval);
     const TimePoint now = mClock.Now();
     for (const auto& [key, link] : mLinks) {
       link->Tick(now);
     }
-    // Links of endpoints that were replaced are forgotten.
+    // Remove closed links of endpoints that were replaced.
     std::erase_if(mLinks, [&](const auto& aItem) {
       const std::size_t at = aItem.first.find('@');
       const auto handle = mTable.Find(aItem.first.substr(0, at));
@@ -166,10 +166,10 @@
 Router::OnPeerVersion(const std::string& aEndpoint, std::uint64_t aVersion)
 {
   const std::uint64_t own = mConfig.Version();
-  if (aVersion <= own || aVersion <= mHeardVersion) {
+  if (aVersion <= own || aVersion <= mNewestPeerVersion) {
     return;
   }
-  mHeardVersion = aVersion;
+  mNewestPeerVersion = aVersion;
   const auto handle = mTable.Find(aEndpoint);
   if (handle.IsValid()) {
     Link(handle)->Send(mConfig.RequestNewer());
@@ -208,7 +208,7 @@
   return mConfig.ReplyTo(aHave);
 }
 
-// The choice of an endpoint.
+// Endpoint selection.
 
 std::uint32_t
 Router::WeightsOf(const std::string& aModel) const
@@ -222,57 +222,57 @@
                   std::size_t aIndex,
                   protocol::Probe aProbe)
 {
-  const auto link = Link(aRound->mProbed[aIndex].mHandle);
+  const auto link = Link(aRound->mResults[aIndex].mHandle);
   const auto ready = co_await link->Ready();
   if (!ready) {
-    mTable.At(aRound->mProbed[aIndex].mHandle).mHealth.Failed(mClock.Now());
-  } else if (mClock.Now() < aRound->mUntil) {
+    mTable.At(aRound->mResults[aIndex].mHandle).mHealth.Failed(mClock.Now());
+  } else if (mClock.Now() < aRound->mDeadline) {
     const auto mailbox =
       std::make_shared<AttemptMailbox>(mContext.get_executor());
     aProbe.mId = link->Open(mailbox);
     aProbe.mConfigVersion = link->UnannouncedVersion(mConfig.Version());
     link->Send(aProbe);
-    auto event = co_await mailbox->Receive(aRound->mUntil);
+    auto event = co_await mailbox->Receive(aRound->mDeadline);
     link->Close(aProbe.mId);
     auto* message = event ? std::get_if<protocol::Message>(&*event) : nullptr;
     auto* reply =
       message ? std::get_if<protocol::ProbeReply>(message) : nullptr;
     if (reply != nullptr) {
-      Probed& probed = aRound->mProbed[aIndex];
+      ProbeResult& probed = aRound->mResults[aIndex];
       probed.mReply = *reply;
       probed.mHasReplied = true;
     }
   }
-  aRound->mNews.Push(true);
+  aRound->mSettled.Push(true);
 }
 
-Task<std::vector<Router::Probed>>
+Task<std::vector<Router::ProbeResult>>
 Router::ProbeAll(ChoiceQuery aQuery,
                  Priority aPriority,
                  std::vector<EndpointHandle> aCandidates)
 {
   const auto round = std::make_shared<ProbeRound>(mContext.get_executor());
-  round->mUntil = mClock.Now() + mSettings.mRouter.mProbeTimeout;
+  round->mDeadline = mClock.Now() + mSettings.mRouter.mProbeTimeout;
   for (const EndpointHandle handle : aCandidates) {
-    round->mProbed.push_back({ handle });
+    round->mResults.push_back({ handle });
   }
   protocol::Probe probe;
   probe.mServesHash = protocol::ServesHash(aQuery.mServes);
   probe.mPriority = aPriority;
   probe.mLevels.assign(aQuery.mLevels.begin(), aQuery.mLevels.end());
-  for (std::size_t i = 0; i < round->mProbed.size(); ++i) {
+  for (std::size_t i = 0; i < round->mResults.size(); ++i) {
     transport::Spawn(mContext, SendProbe(round, i, probe));
   }
   mMetrics.Count("shuntjunction_probes_total",
                  {},
-                 static_cast<double>(round->mProbed.size()));
+                 static_cast<double>(round->mResults.size()));
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
-    const auto settled = co_await round->mNews.Receive(round->mUntil);
+    const auto settled = co_await round->mSettled.Receive(round->mDeadline);
     if (!settled) {
       break;
     }
   }
-  for (const auto& probed : round->mProbed) {
+  for (const auto& probed : round->mResults) {
     if (!probed.mHasReplied) {
       mMetrics.Count("shuntjunction_probes_unanswered_total");
       continue;
@@ -282,11 +282,11 @@
                       probed.mReply.mMicrosPerBlock,
                       mClock.Now() });
   }
-  co_return round->mProbed;
+  co_return round->mResults;
 }
 
 std::int64_t
-Router::CostMicros(const Probed& aProbed, const ChoiceQuery& aQuery) const
+Router::CostMicros(const ProbeResult& aProbed, const ChoiceQuery& aQuery) const
 {
   const auto& entry = mTable.At(aProbed.mHandle);
   const auto& reply = aProbed.mReply;
@@ -300,17 +300,17 @@
          (isNear ? 0 : mSettings.mRouter.mChooser.mZoneCostMicros);
 }
 
-std::optional<Router::Probed>
-Router::Cheapest(const std::vector<Probed>& aProbed,
+std::optional<Router::ProbeResult>
+Router::Cheapest(const std::vector<ProbeResult>& aProbed,
                  const ChoiceQuery& aQuery) const
 {
-  std::optional<Probed> best;
-  for (const auto& one : aProbed) {
-    if (!one.mHasReplied || !one.mReply.mIsAccepting) {
+  std::optional<ProbeResult> best;
+  for (const auto& candidate : aProbed) {
+    if (!candidate.mHasReplied || !candidate.mReply.mIsAccepting) {
       continue;
     }
-    if (!best || CostMicros(one, aQuery) < CostMicros(*best, aQuery)) {
-      best = one;
+    if (!best || CostMicros(candidate, aQuery) < CostMicros(*best, aQuery)) {
+      best = candidate;
     }
   }
   return best;
@@ -330,17 +330,19 @@
   if (usable.empty()) {
     co_return EndpointHandle{};
   }
-  const bool asks = mChooser->ProbesFirst(aQuery);
-  const std::size_t limit = asks ? mSettings.mRouter.mChooser.mProbes : 1;
+  const bool shouldProbe = mChooser->ProbesFirst(aQuery);
+  const std::size_t limit =
+    shouldProbe ? mSettings.mRouter.mChooser.mProbes : 1;
   const auto candidates = mChooser->Candidates(aQuery, usable, limit, now);
-  if (!asks || candidates.size() < 2) {
+  if (!shouldProbe || candidates.size() < 2) {
     co_return candidates.empty() ? EndpointHandle{} : candidates.front();
   }
   const auto probed = co_await ProbeAll(aQuery, aPriority, candidates);
   if (const auto best = Cheapest(probed, aQuery)) {
     co_return best->mHandle;
   }
-  // None of them takes it: the least loaded of all as far as is known.
+  // No probed candidate accepts the request: use the endpoint with the lowest
+  // known load.
   const auto least = std::min_element(
     usable.begin(), usable.end(), [&](auto aLeft, auto aRight) {
       return state::EstimatedWaitMicros(mTable.At(aLeft), now) <
@@ -376,13 +378,14 @@
     row.mZone = entry.mInstance.mZone;
     row.mHealth =
       std::string(state::kHealthStateNames.Name(entry.mHealth.State()));
-    for (const auto& one : probed) {
-      if (one.mHandle == handle) {
+    for (const auto& candidate : probed) {
+      if (candidate.mHandle == handle) {
         row.mIsCandidate = true;
-        row.mHasReplied = one.mHasReplied && one.mReply.mIsAccepting;
-        row.mCachedBlocks = one.mReply.mCachedBlocks;
-        row.mWaitMicros = one.mReply.mWaitMicros;
-        row.mCostMicros = CostMicros(one, query);
+        row.mHasReplied =
+          candidate.mHasReplied && candidate.mReply.mIsAccepting;
+        row.mCachedBlocks = candidate.mReply.mCachedBlocks;
+        row.mWaitMicros = candidate.mReply.mWaitMicros;
+        row.mCostMicros = CostMicros(candidate, query);
       }
     }
     rows.push_back(std::move(row));
@@ -400,7 +403,7 @@
   co_return rows;
 }
 
-// Callers.
+// Callers' requests.
 
 HttpResponse
 Router::Refusal(unsigned aStatus, std::string_view aText)
--- a/packages/coordination/src/snapshot_client.cpp
+++ b/packages/coordination/src/snapshot_client.cpp
@@ -24,9 +24,9 @@
 Task<Result<SnapshotClient::ChannelPtr>>
 SnapshotClient::Open(std::string aAddress, std::uint64_t aVersion)
 {
-  const auto kept = mKept.find(aAddress);
-  if (kept != mKept.end() && kept->second->IsOpen()) {
-    co_return kept->second;
+  const auto existing = mChannels.find(aAddress);
+  if (existing != mChannels.end() && existing->second->IsOpen()) {
+    co_return existing->second;
   }
   const auto address = state::ParseAddress(aAddress);
   if (!address) {
@@ -38,11 +38,11 @@
   if (!channel) {
     co_return tl::unexpected(channel.error());
   }
-  if (mKept.size() >= kMaxKeptPeers) {
-    mKept.begin()->second->Close();
-    mKept.erase(mKept.begin());
+  if (mChannels.size() >= kMaxOpenChannels) {
+    mChannels.begin()->second->Close();
+    mChannels.erase(mChannels.begin());
   }
-  mKept[aAddress] = *channel;
+  mChannels[aAddress] = *channel;
   co_return *channel;
 }
 
@@ -65,10 +65,10 @@
   while (true) {
     auto message = co_await channel->Receive();
     if (!message) {
-      mKept.erase(aAddress);
+      mChannels.erase(aAddress);
       co_return tl::unexpected(message.error());
     }
-    // Other news of the peer is for those who send it work.
+    // Ignore other messages; they are meant for routers.
     if (auto* reply = std::get_if<protocol::SnapshotReply>(&*message)) {
       co_return std::move(*reply);
     }
--- a/packages/coordination/src/snapshot_server.cpp
+++ b/packages/coordination/src/snapshot_server.cpp
@@ -12,21 +12,22 @@
   Shared(asio::io_context& aContext,
          transport::ChannelIdentity aIdentity,
          EventLog& aLog,
-         Answerer aAnswer)
+         RequestHandler aHandler)
     : mContext(aContext)
     , mIdentity(std::move(aIdentity))
     , mLog(aLog)
-    , mAnswer(std::move(aAnswer))
+    , mHandler(std::move(aHandler))
   {
   }
 
   Task<void> Serve(std::shared_ptr<FrameChannel> aChannel)
   {
     const auto self = shared_from_this();
-    const auto proved = co_await aChannel->HandshakeAsAcceptor(mIdentity);
-    if (!proved) {
+    const auto authenticated =
+      co_await aChannel->HandshakeAsAcceptor(mIdentity);
+    if (!authenticated) {
       mLog.Write(EventLine("watch", "asker-refused")
-                   .Add("error", proved.error().Describe()));
+                   .Add("error", authenticated.error().Describe()));
       co_return;
     }
     while (true) {
@@ -36,7 +37,7 @@
       if (request == nullptr) {
         break;
       }
-      aChannel->Send(mAnswer(*request));
+      aChannel->Send(mHandler(*request));
     }
     aChannel->Close();
   }
@@ -44,18 +45,18 @@
   asio::io_context& mContext;
   transport::ChannelIdentity mIdentity;
   EventLog& mLog;
-  Answerer mAnswer;
+  RequestHandler mHandler;
   transport::ChannelCounters mCounters;
 };
 
 SnapshotServer::SnapshotServer(asio::io_context& aContext,
                                transport::ChannelIdentity aIdentity,
                                EventLog& aLog,
-                               Answerer aAnswer)
+                               RequestHandler aHandler)
   : mShared(std::make_shared<Shared>(aContext,
                                      std::move(aIdentity),
                                      aLog,
-                                     std::move(aAnswer)))
+                                     std::move(aHandler)))
 {
 }
 
--- a/packages/coordination/src/status_writer.cpp
+++ b/packages/coordination/src/status_writer.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis kMaxPause{ 2000 };
-constexpr Millis kRetryPause{ 3000 };
+constexpr Millis kMaxDelay{ 2000 };
+constexpr Millis kRetryDelay{ 3000 };
 
 } // namespace
 
@@ -30,33 +30,33 @@
 void
 StatusWriter::Start()
 {
-  transport::Spawn(mContext, Follow());
+  transport::Spawn(mContext, RunLoop());
 }
 
 void
 StatusWriter::Set(std::string aText)
 {
-  if (mWanted != aText) {
-    mWanted = std::move(aText);
+  if (mLatest != aText) {
+    mLatest = std::move(aText);
     mWake.cancel();
   }
 }
 
 Task<void>
-StatusWriter::Follow()
+StatusWriter::RunLoop()
 {
-  std::uniform_int_distribution<std::int64_t> pause(0, kMaxPause.count());
+  std::uniform_int_distribution<std::int64_t> delay(0, kMaxDelay.count());
   while (true) {
-    while (mWanted == mWritten) {
+    while (mLatest == mWritten) {
       mWake.expires_at(state::TimePoint::max());
       co_await mWake.async_wait(transport::kAsTuple);
     }
-    co_await transport::Sleep(Millis(pause(mRandom)));
-    const std::string text = mWanted;
+    co_await transport::Sleep(Millis(delay(mRandom)));
+    const std::string text = mLatest;
     if (co_await WriteOnce(text)) {
       mWritten = text;
     } else {
-      co_await transport::Sleep(kRetryPause);
+      co_await transport::Sleep(kRetryDelay);
     }
   }
 }
@@ -70,12 +70,13 @@
     mRevision = *written;
     co_return true;
   }
-  // An earlier life of this instance wrote it, or an answer was lost.
+  // The object was written before a restart of this instance, or the response
+  // was lost: read its revision for the next attempt.
   const auto found = co_await mPlatform.Read(mKey);
   if (found) {
     mRevision = *found ? (*found)->mRevision : 0;
   } else {
-    mLog.Debug("not written: " + found.error().Describe() + ".");
+    mLog.Debug("cannot write the status: " + found.error().Describe() + ".");
   }
   co_return false;
 }
--- a/packages/coordination/src/throttled_engine_control.cpp
+++ b/packages/coordination/src/throttled_engine_control.cpp
@@ -16,17 +16,18 @@
   , mClock(aClock)
   , mLog(aLog)
 {
-  mEngine->SetNoticeHandler([this](const auto& aNotice) { Take(aNotice); });
+  mEngine->SetNoticeHandler(
+    [this](const auto& aNotice) { HandleNotice(aNotice); });
 }
 
 void
-ThrottledEngineControl::SetNoticeHandler(NoticeHandler aTake)
+ThrottledEngineControl::SetNoticeHandler(NoticeHandler aHandler)
 {
-  mTake = std::move(aTake);
+  mNoticeHandler = std::move(aHandler);
 }
 
 void
-ThrottledEngineControl::Take(const state::EndpointNotice& aNotice)
+ThrottledEngineControl::HandleNotice(const state::EndpointNotice& aNotice)
 {
   const auto change =
     mAvailability.Take(aNotice, mClock.Now(), mClock.WallMillis());
@@ -34,15 +35,16 @@
     mLog.Write(EventLine("engine", "cooldown")
                  .Add("cooldown_ms", change.mCooldown.count()));
   }
-  if (mTake) {
-    mTake(aNotice);
+  if (mNoticeHandler) {
+    mNoticeHandler(aNotice);
   }
 }
 
 Task<void>
 ThrottledEngineControl::AwaitCooldownEnd()
 {
-  // Another call may have been refused while this one waited.
+  // Another call may have been refused, which extends the cooldown, while this
+  // one waited.
   auto left = mAvailability.RequestedCooldownEnd() - mClock.Now();
   while (left.count() > 0) {
     co_await transport::Sleep(std::chrono::ceil<Millis>(left));
--- a/packages/coordination/src/weights_controller.cpp
+++ b/packages/coordination/src/weights_controller.cpp
@@ -14,39 +14,39 @@
 
 namespace {
 
-constexpr std::string_view kPart = "weights";
+constexpr std::string_view kComponent = "weights";
 
-/// Fencing numbers that one life of a process may use before they reach those
-/// of the next revision.
+/// Fencing tokens per revision. A process must not use more before it restarts,
+/// or they would overlap with those of the next revision.
 constexpr std::uint64_t kFencesPerRevision = 1000000;
 
-/// Between two looks at an engine that loads.
+/// Interval between reports while the engine is loading.
 constexpr Millis kReportInterval{ 40 };
 
-/// An order that got no answer is given again after this, unless the engine
-/// has begun. Should the first still arrive, the engine refuses it: it has
-/// taken another order since.
-constexpr Millis kOrderPatience{ 60 };
+/// Delay before an order without a response is sent again, unless the engine
+/// has started loading. If the first order arrives later, the engine rejects
+/// it, because it has accepted another order since.
+constexpr Millis kOrderRetryDelay{ 60 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call.
 constexpr Millis kRetryPause{ 150 };
 
-/// Longest wait without news.
+/// Longest wait without a new view or report.
 constexpr Millis kIdleWait{ 60000 };
 
 } // namespace
 
 WeightsController::WeightsController(
-  const WeightsControllerDependencies& aParts)
-  : mParts(aParts)
-  , mWake(aParts.mContext)
+  const WeightsControllerDependencies& aDependencies)
+  : mDependencies(aDependencies)
+  , mWake(aDependencies.mContext)
 {
 }
 
 void
 WeightsController::Start()
 {
-  transport::Spawn(mParts.mContext, Run());
+  transport::Spawn(mDependencies.mContext, Run());
 }
 
 void
@@ -66,29 +66,30 @@
 transport::Task<void>
 WeightsController::Run()
 {
-  co_await TakeFence();
+  co_await AcquireFence();
   while (true) {
     const auto task = NextTask();
-    const auto now = mParts.mClock.Now();
-    const auto close = mParts.mSettings.mLoadSchedule.mDrainLead;
+    const auto now = mDependencies.mClock.Now();
+    const auto drainLead = mDependencies.mSettings.mLoadSchedule.mDrainLead;
     if (!task) {
-      Tell(EnginePhase::kOpen);
+      ReportPhase(EnginePhase::kOpen);
       co_await WaitFor(kIdleWait);
-    } else if (now < task->mFrom - close) {
-      Tell(EnginePhase::kOpen);
-      co_await WaitFor(std::chrono::ceil<Millis>(task->mFrom - close - now));
-    } else if (now < task->mFrom) {
-      Tell(EnginePhase::kClosing);
-      co_await WaitFor(std::chrono::ceil<Millis>(task->mFrom - now));
+    } else if (now < task->mStartAt - drainLead) {
+      ReportPhase(EnginePhase::kOpen);
+      co_await WaitFor(
+        std::chrono::ceil<Millis>(task->mStartAt - drainLead - now));
+    } else if (now < task->mStartAt) {
+      ReportPhase(EnginePhase::kClosing);
+      co_await WaitFor(std::chrono::ceil<Millis>(task->mStartAt - now));
     } else {
-      Tell(EnginePhase::kLoading);
-      co_await Carry(*task);
+      ReportPhase(EnginePhase::kLoading);
+      co_await CarryOut(*task);
     }
   }
 }
 
 void
-WeightsController::Tell(EnginePhase aPhase)
+WeightsController::ReportPhase(EnginePhase aPhase)
 {
   const auto* own = OwnEndpoint();
   if (own == nullptr) {
@@ -101,27 +102,28 @@
     engine.mModel = own->mModels.front().mName;
     engine.mWeights = KnownVersion(*own, own->mModels.front());
   }
-  mParts.mNews.SetState(engine);
+  mDependencies.mNews.SetState(engine);
 }
 
 transport::Task<void>
-WeightsController::TakeFence()
+WeightsController::AcquireFence()
 {
   const std::string key =
-    mParts.mCodec.ProcessPrefix() + mParts.mSettings.mName;
+    mDependencies.mCodec.ProcessPrefix() + mDependencies.mSettings.mName;
   std::random_device random;
   while (mFence == 0) {
-    const auto before = co_await mParts.mPlatform.Read(key);
+    const auto before = co_await mDependencies.mPlatform.Read(key);
     if (before) {
-      // A value that differs from any before: only a change raises the
-      // revision.
+      // The value must differ from all earlier ones, since the revision
+      // increases only if the value changes.
       const std::string value = boost::json::serialize(
         boost::json::object{ { "role", "companion" }, { "life", random() } });
-      const auto revision = co_await mParts.mPlatform.Write(
+      const auto revision = co_await mDependencies.mPlatform.Write(
         key, value, *before ? (*before)->mRevision : 0);
       if (revision) {
         mFence = *revision * kFencesPerRevision;
-        mParts.mLog.Write(EventLine(kPart, "fence").Add("fence", mFence));
+        mDependencies.mLog.Write(
+          EventLine(kComponent, "fence").Add("fence", mFence));
         co_return;
       }
     }
@@ -134,7 +136,7 @@
 {
   const state::EndpointInfo* own = nullptr;
   for (const auto& endpoint : mView->mEndpoints) {
-    if (endpoint.mAddress == mParts.mSettings.mEngine &&
+    if (endpoint.mAddress == mDependencies.mSettings.mEngine &&
         (own == nullptr || own->mIsLeaving)) {
       own = &endpoint;
     }
@@ -146,7 +148,7 @@
 WeightsController::KnownVersion(const state::EndpointInfo& aOwn,
                                 const state::LoadedModel& aListed) const
 {
-  if (!mReport || mReportedBy != aOwn.mId) {
+  if (!mReport || mReportEndpointId != aOwn.mId) {
     return aListed.mVersion;
   }
   const auto& models = mReport->mModels;
@@ -157,8 +159,8 @@
   if (reported == models.end()) {
     return aListed.mVersion;
   }
-  // An engine that started again may have older weights than its former life,
-  // of which the list still tells.
+  // After a restart, an engine may have older weights than the endpoint list,
+  // which still shows those from before the restart.
   return mReport->mEndpointIncarnation == aOwn.mEndpointIncarnation
            ? std::max(aListed.mVersion, reported->mVersion)
            : reported->mVersion;
@@ -171,13 +173,13 @@
   if (own == nullptr) {
     return;
   }
-  const bool isOther =
-    !mReport || mReportedBy != own->mId ||
+  const bool hasChanged =
+    !mReport || mReportEndpointId != own->mId ||
     mReport->mEndpointIncarnation != aReport.mEndpointIncarnation ||
     mReport->mModels != aReport.mModels;
   mReport = aReport;
-  mReportedBy = own->mId;
-  if (isOther) {
+  mReportEndpointId = own->mId;
+  if (hasChanged) {
     mWake.cancel();
   }
 }
@@ -199,22 +201,22 @@
     if (KnownVersion(*own, loaded) >= weights.mVersion) {
       continue;
     }
-    const auto turn = state::LoadStartOf(
-      news.mLoadOrder, own->mId, mParts.mSettings.mLoadSchedule);
+    const auto delay = state::LoadStartOf(
+      news.mLoadOrder, own->mId, mDependencies.mSettings.mLoadSchedule);
     return Task{ own->mId,
                  weights,
-                 news.NewestLearnedAt() + turn.value_or(Millis(0)) };
+                 news.NewestLearnedAt() + delay.value_or(Millis(0)) };
   }
   return std::nullopt;
 }
 
 transport::Task<void>
-WeightsController::Carry(Task aTask)
+WeightsController::CarryOut(Task aTask)
 {
-  const auto report = co_await mParts.mEngine.Report();
+  const auto report = co_await mDependencies.mEngine.Report();
   if (!report) {
-    mParts.mLog.Write(EventLine(kPart, "report-failed")
-                        .Add("error", report.error().Describe()));
+    mDependencies.mLog.Write(EventLine(kComponent, "report-failed")
+                               .Add("error", report.error().Describe()));
     co_await transport::Sleep(kRetryPause);
     co_return;
   }
@@ -223,9 +225,9 @@
   const auto loaded =
     own == nullptr ? 0 : KnownVersion(*own, { aTask.mWeights.mModel, 0 });
   if (loaded >= aTask.mWeights.mVersion) {
-    mParts.mLog.Write(EventLine(kPart, "loaded")
-                        .Add("endpoint", aTask.mEndpointId)
-                        .Add("weights", loaded));
+    mDependencies.mLog.Write(EventLine(kComponent, "loaded")
+                               .Add("endpoint", aTask.mEndpointId)
+                               .Add("weights", loaded));
     co_return;
   }
   if (report->mIsOrderRunning) {
@@ -236,20 +238,21 @@
   order.mEndpointId = aTask.mEndpointId;
   order.mModel = aTask.mWeights.mModel;
   order.mVersion = aTask.mWeights.mVersion;
-  order.mHolder = mParts.mSettings.mName;
+  order.mHolder = mDependencies.mSettings.mName;
   order.mFence = ++mFence;
   order.mOrdersTaken = report->mOrdersTaken;
-  const auto outcome = co_await mParts.mEngine.Order(order);
-  mParts.mLog.Write(EventLine(kPart, "order")
-                      .Add("endpoint", order.mEndpointId)
-                      .Add("weights", order.mVersion)
-                      .Add("fence", order.mFence)
-                      .Add("outcome",
-                           outcome ? kOrderOutcomeNames.Name(*outcome)
-                                   : outcome.error().Describe()));
-  const bool isUnknown =
+  const auto outcome = co_await mDependencies.mEngine.Order(order);
+  mDependencies.mLog.Write(EventLine(kComponent, "order")
+                             .Add("endpoint", order.mEndpointId)
+                             .Add("weights", order.mVersion)
+                             .Add("fence", order.mFence)
+                             .Add("outcome",
+                                  outcome ? kOrderOutcomeNames.Name(*outcome)
+                                          : outcome.error().Describe()));
+  const bool isOutcomeUnknown =
     !outcome && outcome.error().mCode == ErrorCode::kTimeout;
-  co_await transport::Sleep(isUnknown ? kOrderPatience : kReportInterval);
+  co_await transport::Sleep(isOutcomeUnknown ? kOrderRetryDelay
+                                             : kReportInterval);
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/zone_mirror.cpp
+++ b/packages/coordination/src/zone_mirror.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-/// How often a watcher looks whether it is still asked.
-constexpr Millis kAskedInterval{ 2000 };
-
-// Shares of the operator's bounds. What a watcher's silence delays at most, two
-// answers that do not come and a question, stays under half of the bound on
-// leaving endpoints.
-constexpr int kAsksPerLeaving = 5;
-constexpr int kAnswersPerLeaving = 8;
+/// Interval at which a watcher checks whether it still receives requests.
+constexpr Millis kIdleCheckInterval{ 2000 };
+
+// Fractions of the operator's bounds. A silent watcher delays changes by at
+// most two response timeouts and one query interval, which stays below half of
+// the bound on leaving endpoints.
+constexpr int kQueriesPerLeaving = 5;
+constexpr int kResponsesPerLeaving = 8;
 constexpr int kAgesPerKeyRemoval = 3;
 
-/// Another number in each life of a process; fits where JSON writes it.
+/// A different number after each restart; fits into a JSON number.
 std::uint64_t
-DrawEpoch()
+RandomEpoch()
 {
   std::random_device random;
   return 1 + random();
@@ -48,9 +48,9 @@
   zone.mConfirmed = aCodec.ConfigPrefix();
   const auto& bounds = aSettings.mBounds;
   zone.mAskInterval =
-    std::min(zone.mAskInterval, bounds.mEndpointLeaving / kAsksPerLeaving);
+    std::min(zone.mAskInterval, bounds.mEndpointLeaving / kQueriesPerLeaving);
   zone.mResponseTimeout = std::min(
-    zone.mResponseTimeout, bounds.mEndpointLeaving / kAnswersPerLeaving);
+    zone.mResponseTimeout, bounds.mEndpointLeaving / kResponsesPerLeaving);
   zone.mMaxAge =
     std::min(zone.mMaxAge, bounds.mKeyRemoval / kAgesPerKeyRemoval);
   return zone;
@@ -65,7 +65,7 @@
   , mIdentity{ aSettings.mName, aSettings.mSecret, 0 }
   , mClock(aClock)
   , mLog(aLog)
-  , mMirror(DrawEpoch())
+  , mMirror(RandomEpoch())
   , mPlatform(aContext, aSettings, aStore, aClock, aLog)
 {
 }
@@ -87,27 +87,28 @@
 {
   mServer = std::make_unique<SnapshotServer>(
     mContext, mIdentity, mLog, [this, &aFeed](const auto& aRequest) {
-      return Answer(aFeed, aRequest);
+      return HandleRequest(aFeed, aRequest);
     });
-  transport::Spawn(mContext, EndWhenNobodyAsks(&aFeed));
+  transport::Spawn(mContext, StopWatchingWhenIdle(&aFeed));
   return mServer->Start(aAddress);
 }
 
 protocol::SnapshotReply
-ZoneMirror::Answer(RelayFeed& aFeed, const protocol::SnapshotRequest& aRequest)
+ZoneMirror::HandleRequest(RelayFeed& aFeed,
+                          const protocol::SnapshotRequest& aRequest)
 {
   mPlatform.NoteRequest();
   aFeed.BeginWatching();
-  const auto page =
+  const auto update =
     mMirror.UpdateSince(aRequest.mHaveInstances, aRequest.mHave, mClock.Now());
-  return { page.mSequence, state::WriteMirrorUpdate(page), {} };
+  return { update.mSequence, state::WriteMirrorUpdate(update), {} };
 }
 
 Task<void>
-ZoneMirror::EndWhenNobodyAsks(RelayFeed* aFeed)
+ZoneMirror::StopWatchingWhenIdle(RelayFeed* aFeed)
 {
   while (true) {
-    co_await transport::Sleep(kAskedInterval);
+    co_await transport::Sleep(kIdleCheckInterval);
     if (!mPlatform.HasRecentRequests()) {
       aFeed->EndWatching();
     }
--- a/packages/coordination/tests/claims_test.cpp
+++ b/packages/coordination/tests/claims_test.cpp
@@ -1,5 +1,5 @@
-// The story of claims in the platform: what a request costs, what a lost answer
-// does, and what becomes of old ones.
+// Claims in the platform: the calls per request, lost responses, and the
+// deletion of expired claims.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 using state::ClaimStep;
 using state::Millis;
 
-class GivenAKeeper : public ::testing::Test
+class GivenAClaimManager : public ::testing::Test
 {
 protected:
   template<typename T>
@@ -24,7 +24,7 @@
     return transport::RunTask(mContext, std::move(aTask));
   }
 
-  void Settle()
+  void RunPending()
   {
     mContext.restart();
     mContext.run();
@@ -33,70 +33,73 @@
   ClaimResult Claim(const std::string& aKey)
   {
     return Run(
-      mKeeper.Settle("north", aKey, "digest", mClock.Now() + Millis(1000)));
+      mManager.Acquire("north", aKey, "digest", mClock.Now() + Millis(1000)));
   }
 
-  void Record(ClaimResult aVerdict)
+  void Record(ClaimResult aClaim)
   {
-    aVerdict.mRecord.mIsDone = true;
-    aVerdict.mRecord.mStatus = 200;
-    transport::Spawn(mContext, mKeeper.Record(aVerdict));
-    Settle();
+    aClaim.mRecord.mIsDone = true;
+    aClaim.mRecord.mStatus = 200;
+    transport::Spawn(mContext, mManager.Record(aClaim));
+    RunPending();
   }
 
   boost::asio::io_context mContext{ 1 };
   state::SystemClock mClock;
   Metrics mMetrics;
   FakePlatform mPlatform;
-  ClaimManager mKeeper{ mContext, mPlatform, mClock, mMetrics };
+  ClaimManager mManager{ mContext, mPlatform, mClock, mMetrics };
 };
 
-TEST_F(GivenAKeeper, ARequestCostsTwoWritesAndNoRead)
+TEST_F(GivenAClaimManager, ARequestTakesTwoWritesAndNoRead)
 {
-  const auto verdict = Claim("k");
-  ASSERT_EQ(verdict.mStep, ClaimStep::kExecute);
-  Record(verdict);
+  const auto claim = Claim("k");
+  ASSERT_EQ(claim.mStep, ClaimStep::kExecute);
+  Record(claim);
   EXPECT_EQ(mPlatform.mWrites, 2);
   EXPECT_EQ(mPlatform.mReads, 0);
   {
-    SCOPED_TRACE("whoever asks again gets the outcome");
+    SCOPED_TRACE("a caller that retries gets the recorded outcome");
     const auto again = Claim("k");
     EXPECT_EQ(again.mStep, ClaimStep::kReplay);
     EXPECT_EQ(again.mRecord.mStatus, 200U);
   }
 }
 
-TEST_F(GivenAKeeper, ALostAnswerIsReadBackAndItsOutcomeRecorded)
+TEST_F(GivenAClaimManager,
+       AfterALostResponseTheClaimIsReadBackAndItsOutcomeRecorded)
 {
-  mPlatform.mNextWrite = WriteFate::kAnswerIsLost;
-  const auto verdict = Claim("k");
-  ASSERT_EQ(verdict.mStep, ClaimStep::kExecute);
-  EXPECT_NE(verdict.mRevision, 0U);
-  Record(verdict);
+  mPlatform.mNextWrite = WriteFault::kResponseLost;
+  const auto claim = Claim("k");
+  ASSERT_EQ(claim.mStep, ClaimStep::kExecute);
+  EXPECT_NE(claim.mRevision, 0U);
+  Record(claim);
   EXPECT_EQ(Claim("k").mStep, ClaimStep::kReplay);
 }
 
-TEST_F(GivenAKeeper, ALostRecordIsWrittenOnce)
+TEST_F(GivenAClaimManager, AnOutcomeIsRecordedDespiteALostWrite)
 {
-  const auto verdict = Claim("k");
-  for (const auto fate : { WriteFate::kCallIsLost, WriteFate::kAnswerIsLost }) {
-    mPlatform.mNextWrite = fate;
-    Record(verdict);
+  const auto claim = Claim("k");
+  for (const auto fault :
+       { WriteFault::kRequestLost, WriteFault::kResponseLost }) {
+    mPlatform.mNextWrite = fault;
+    Record(claim);
     EXPECT_EQ(Claim("k").mStep, ClaimStep::kReplay);
   }
 }
 
-TEST_F(GivenAKeeper, AnOutcomeIsNeverWrittenOverAnothersClaim)
+TEST_F(GivenAClaimManager, AnOutcomeNeverOverwritesAnotherClaim)
 {
-  const auto verdict = Claim("k");
-  mPlatform.mObjects.clear(); // An operator's hand, or a restored platform.
+  const auto claim = Claim("k");
+  // As if an operator had deleted the claim, or the platform were restored.
+  mPlatform.mObjects.clear();
   const auto other = Claim("k");
   ASSERT_EQ(other.mStep, ClaimStep::kExecute);
-  Record(verdict);
+  Record(claim);
   EXPECT_EQ(Claim("k").mStep, ClaimStep::kHeldByOther);
 }
 
-class WithOldClaims : public GivenAKeeper
+class ThatHasExpiredClaims : public GivenAClaimManager
 {
 protected:
   static constexpr Millis kRetention{ 60000 };
@@ -119,7 +122,7 @@
                          mMetrics };
 };
 
-TEST_F(WithOldClaims, ASweepDeletesThemAndLeavesTheRest)
+TEST_F(ThatHasExpiredClaims, ASweepDeletesOnlyTheExpiredClaimsOfItsShard)
 {
   Add(5, 100000);
   Add(5, 0);
--- a/packages/coordination/tests/fake_platform.h
+++ b/packages/coordination/tests/fake_platform.h
@@ -5,18 +5,18 @@
 
 #include "shuntjunction/coordination/platform.h"
 
-/// The platform as a map, with faults a call at a time.
+/// An in-memory platform with injectable write faults.
 namespace shuntjunction::coordination {
 
-/// What becomes of the next writes.
-enum class WriteFate : std::uint8_t
+/// The outcome of the next write.
+enum class WriteFault : std::uint8_t
 {
-  kAnswers,
-  kAnswerIsLost, ///< after its effect
-  kCallIsLost,   ///< before it
+  kNone,
+  kResponseLost, ///< the write takes effect, its response is lost
+  kRequestLost,  ///< the write has no effect and gets no response
 };
 
-/// Objects in memory; counts its calls.
+/// Stores objects in a map and counts calls.
 class FakePlatform final : public Platform
 {
 public:
@@ -48,9 +48,9 @@
     std::uint64_t aIfRevision) override
   {
     ++mWrites;
-    const WriteFate fate = std::exchange(mNextWrite, WriteFate::kAnswers);
-    if (fate == WriteFate::kCallIsLost) {
-      co_return NoAnswer();
+    const WriteFault fault = std::exchange(mNextWrite, WriteFault::kNone);
+    if (fault == WriteFault::kRequestLost) {
+      co_return NoResponse();
     }
     const auto found = mObjects.find(aKey);
     const std::uint64_t current =
@@ -60,8 +60,8 @@
         state::ErrorCode::kConflict, "fake.write", aKey, "changed");
     }
     mObjects[aKey] = { aKey, ++mRevision, aValue };
-    if (fate == WriteFate::kAnswerIsLost) {
-      co_return NoAnswer();
+    if (fault == WriteFault::kResponseLost) {
+      co_return NoResponse();
     }
     co_return mRevision;
   }
@@ -85,13 +85,13 @@
                                                     std::uint64_t,
                                                     state::Millis) override
   {
-    co_return NoAnswer();
+    co_return NoResponse();
   }
 
   transport::Task<state::Result<InstanceList>> Instances(std::uint64_t,
                                                          state::Millis) override
   {
-    co_return NoAnswer();
+    co_return NoResponse();
   }
 
   transport::Task<state::Result<ObjectList>> ListCached(
@@ -103,14 +103,14 @@
   void AbandonCalls() override {}
 
   std::map<std::string, state::RawObject> mObjects;
-  WriteFate mNextWrite = WriteFate::kAnswers;
+  WriteFault mNextWrite = WriteFault::kNone;
   std::uint64_t mRevision = 0;
   int mLists = 0;
   int mReads = 0;
   int mWrites = 0;
 
 private:
-  static tl::unexpected<state::Error> NoAnswer()
+  static tl::unexpected<state::Error> NoResponse()
   {
     return state::Fail(
       state::ErrorCode::kTimeout, "fake.call", "platform", "no answer");
--- a/packages/coordination/tests/throttled_engine_control_test.cpp
+++ b/packages/coordination/tests/throttled_engine_control_test.cpp
@@ -2,7 +2,8 @@
 
 #include "shuntjunction/coordination/throttled_engine_control.h"
 
-// How a companion's control calls keep to the cooldowns of their engine.
+// Control calls of a companion wait for the end of cooldowns that the engine
+// requests.
 
 namespace shuntjunction::coordination {
 
@@ -12,110 +13,110 @@
 
 namespace {
 
-/// An engine that refuses the first call and asks for a cooldown.
-class RefusingEngine final : public EngineControl
+/// An engine that requests a cooldown in its first response.
+class EngineWithCooldown final : public EngineControl
 {
 public:
-  explicit RefusingEngine(std::vector<state::TimePoint>& aCalls)
+  explicit EngineWithCooldown(std::vector<state::TimePoint>& aCalls)
     : mCalls(aCalls)
   {
   }
 
-  void SetNoticeHandler(NoticeHandler aTake) override
+  void SetNoticeHandler(NoticeHandler aHandler) override
   {
-    mTake = std::move(aTake);
+    mNoticeHandler = std::move(aHandler);
   }
 
   Task<Result<EngineReport>> Report() override
   {
-    Answer();
+    Respond();
     co_return EngineReport{};
   }
   Task<Result<PartChanges>> Changes(std::uint64_t, Millis) override
   {
-    Answer();
+    Respond();
     co_return PartChanges{};
   }
   Task<Result<OrderOutcome>> Order(LoadOrder) override
   {
-    Answer();
+    Respond();
     co_return OrderOutcome::kRefused;
   }
 
   static constexpr Millis kCooldown{ 50 };
 
 private:
-  void Answer()
+  void Respond()
   {
     state::EndpointNotice notice;
     if (mCalls.empty()) {
       notice.mRetryAfter = { state::RetryAfterForm::kDelay, kCooldown, 0 };
     }
     mCalls.push_back(state::BootClock::now());
-    mTake(notice);
+    mNoticeHandler(notice);
   }
 
   std::vector<state::TimePoint>& mCalls;
-  NoticeHandler mTake;
+  NoticeHandler mNoticeHandler;
 };
 
 } // namespace
 
-class GivenAnEngineThatAskedForACooldown : public ::testing::Test
+class GivenAnEngineThatRequestedACooldown : public ::testing::Test
 {
 protected:
-  GivenAnEngineThatAskedForACooldown()
+  GivenAnEngineThatRequestedACooldown()
   {
-    Play([](ThrottledEngineControl* aGate) -> Task<void> {
-      co_await aGate->Report();
+    RunCall([](ThrottledEngineControl* aControl) -> Task<void> {
+      co_await aControl->Report();
     });
   }
 
-  void Play(Task<void> (*aCall)(ThrottledEngineControl*))
+  void RunCall(Task<void> (*aCall)(ThrottledEngineControl*))
   {
-    transport::Spawn(mContext, aCall(&mGate));
+    transport::Spawn(mContext, aCall(&mControl));
     mContext.restart();
     mContext.run();
   }
 
-  void ExpectTheSecondAfterTheCooldown()
+  void ExpectTheSecondCallAfterTheCooldown()
   {
     ASSERT_EQ(mCalls.size(), 2U);
-    EXPECT_GE(mCalls[1] - mCalls[0], RefusingEngine::kCooldown);
+    EXPECT_GE(mCalls[1] - mCalls[0], EngineWithCooldown::kCooldown);
   }
 
   transport::asio::io_context mContext;
   std::vector<state::TimePoint> mCalls;
   state::SystemClock mClock;
   EventLog mLog{ EventLogSettings{}, mClock };
-  ThrottledEngineControl mGate{ std::make_unique<RefusingEngine>(mCalls),
-                                mClock,
-                                mLog };
+  ThrottledEngineControl mControl{ std::make_unique<EngineWithCooldown>(mCalls),
+                                   mClock,
+                                   mLog };
 };
 
-TEST_F(GivenAnEngineThatAskedForACooldown, ReportsWaitForItsEnd)
+TEST_F(GivenAnEngineThatRequestedACooldown, ReportsWaitForItsEnd)
 {
-  Play([](ThrottledEngineControl* aGate) -> Task<void> {
-    co_await aGate->Report();
+  RunCall([](ThrottledEngineControl* aControl) -> Task<void> {
+    co_await aControl->Report();
   });
-  ExpectTheSecondAfterTheCooldown();
+  ExpectTheSecondCallAfterTheCooldown();
 }
 
-TEST_F(GivenAnEngineThatAskedForACooldown, QuestionsForChangesWaitForItsEnd)
+TEST_F(GivenAnEngineThatRequestedACooldown, ChangeQueriesWaitForItsEnd)
 {
-  Play([](ThrottledEngineControl* aGate) -> Task<void> {
-    co_await aGate->Changes(0, Millis(0));
+  RunCall([](ThrottledEngineControl* aControl) -> Task<void> {
+    co_await aControl->Changes(0, Millis(0));
   });
-  ExpectTheSecondAfterTheCooldown();
+  ExpectTheSecondCallAfterTheCooldown();
 }
 
-TEST_F(GivenAnEngineThatAskedForACooldown, OrdersWaitForItsEnd)
+TEST_F(GivenAnEngineThatRequestedACooldown, OrdersWaitForItsEnd)
 {
-  Play([](ThrottledEngineControl* aGate) -> Task<void> {
+  RunCall([](ThrottledEngineControl* aControl) -> Task<void> {
     LoadOrder order;
-    co_await aGate->Order(std::move(order));
+    co_await aControl->Order(std::move(order));
   });
-  ExpectTheSecondAfterTheCooldown();
+  ExpectTheSecondCallAfterTheCooldown();
 }
 
 } // namespace shuntjunction::coordination
