--- a/packages/coordination/include/shuntjunction/coordination/config_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/config_feed.h
@@ -16,96 +16,99 @@
 /// Keeps the configuration and the list of instances up to date.
 namespace shuntjunction::coordination {
 
-/// Instances as a list that is never changed after it was published.
+/// List of instances, immutable once published.
 using SharedInstances = std::shared_ptr<const std::vector<state::InstanceInfo>>;
 
-/// What is in force, ready to read and to pass on to a peer.
+/// The active configuration, ready to read and to send to a peer.
 struct PublishedConfig
 {
   std::shared_ptr<const state::ConfigSnapshot> mSnapshot =
     std::make_shared<const state::ConfigSnapshot>();
   SharedInstances mInstances =
     std::make_shared<const std::vector<state::InstanceInfo>>();
-  std::uint64_t mInstancesRevision = 0;     ///< of mInstances
-  std::shared_ptr<const std::string> mText; ///< null before the first
+  std::uint64_t mInstancesRevision = 0; ///< revision of mInstances
+  /// Serialized; null before the first.
+  std::shared_ptr<const std::string> mText;
   std::shared_ptr<const std::string> mInstancesText;
   std::shared_ptr<const state::RecentChanges> mRecent;
 
-  /// Version in force.
+  /// Version of the active configuration.
   std::uint64_t Version() const { return mSnapshot->mVersion.Packed(); }
 
-  /// Asks a peer for what is newer than this.
+  /// Request that asks a peer for anything newer than this.
   protocol::SnapshotRequest RequestNewer() const
   {
     return { Version(), mInstancesRevision };
   }
 
-  /// Answer to a peer that asks for what is newer than it has.
+  /// Reply to a peer that asks for anything newer than it has.
   protocol::SnapshotReply ReplyTo(const protocol::SnapshotRequest& aHave) const;
 };
 
-/// Passes a peer's snapshot on to the control thread.
+/// Hands a peer's snapshot to the control thread.
 using PeerSnapshotHandler =
   std::function<void(protocol::SnapshotReply, std::string)>;
 
 /// Settings of a ConfigFeed.
 struct ConfigFeedSettings
 {
-  std::string mName;               ///< of this instance
-  std::string mSecret;             ///< shared by the system's processes
+  std::string mName;               ///< name of this instance
+  std::string mSecret;             ///< shared secret of the system's processes
   std::string mZone;               ///< availability zone
-  std::vector<std::string> mPeers; ///< to ask when the platform is down
+  std::vector<std::string> mPeers; ///< queried while the platform is down
   state::WatcherSettings mWatchers;
   state::Millis mWatchTimeout{ 30000 };
   state::Millis mRetryPause{ 500 }; ///< after a failed call; jittered
 };
 
-/// Counts of what a feed met.
+/// Counters of a ConfigFeed.
 struct ConfigFeedCounters
 {
   std::uint64_t mPlatformCalls = 0;
   std::uint64_t mPlatformErrors = 0;
-  std::uint64_t mStaleAnswers = 0; ///< answers older than what is in force
+  /// Answers older than the active configuration.
+  std::uint64_t mStaleAnswers = 0;
   std::uint64_t mGaps = 0;
   std::uint64_t mFromPeers = 0;
   std::uint64_t mWatcherQueries = 0;
-  std::uint64_t mUnansweredRounds = 0; ///< rounds in which none answered
-  std::uint64_t mPeerBytes = 0;        ///< both ways, in frames
+  std::uint64_t mUnansweredRounds = 0; ///< rounds in which no watcher answered
+  std::uint64_t mPeerBytes = 0;        ///< sent and received, in frames
 };
 
-/// Follows the platform, or those who follow it.
+/// Follows the platform, directly or through processes that do.
 ///
 /// In a large fleet a few companions of each availability zone watch the
-/// platform; all others ask one of them, another each time, and hear of new
-/// versions in-band besides. Where none of them answers, a process watches
-/// itself. Who watches asks a companion now and then as well, since one that is
-/// cut off silently learns of it only when its watch ends. While the platform
-/// is down, the peers of the settings are asked.
+/// platform. All other processes query one of them, a different one each time,
+/// and also learn of new versions in-band. If none of them answers, a process
+/// watches the platform itself. A process that watches also queries a companion
+/// from time to time: if it is cut off silently, it would otherwise notice only
+/// when its watch ends. While the platform is down, the peers from the settings
+/// are queried.
 ///
-/// Thread safety: none; lives on the control thread. The callback is called
+/// Thread safety: none; used on the control thread. The callback is called
 /// there too.
 class ConfigFeed
 {
 public:
   using OnConfig = std::function<void(PublishedConfig)>;
 
-  /// @param aPlatform  outlives the feed
+  /// @param aPlatform  must outlive the feed
   ConfigFeed(boost::asio::io_context& aContext,
              const ConfigFeedSettings& aSettings,
              Platform& aPlatform,
              OnConfig aOnConfig);
 
-  /// Starts to follow; runs until the context stops.
+  /// Starts following; runs until the context stops.
   void Start();
 
-  /// Takes a configuration that a peer sent.
+  /// Applies a configuration that a peer sent.
   void ApplyPeerSnapshot(const protocol::SnapshotReply& aReply,
                          const std::string& aPeer);
 
-  /// Version in force.
+  /// Version of the active configuration.
   state::ConfigVersion Version() const { return mStore.Version(); }
 
-  /// What it met so far.
+  /// Counters since the start.
   ConfigFeedCounters Counters() const;
 
   /// Whether this process watches the platform itself.
@@ -141,11 +144,12 @@
     std::make_shared<const std::vector<state::InstanceInfo>>();
   std::uint64_t mInstancesRevision = 0;
   ConfigFeedCounters mCounters;
-  SnapshotClient mPeers;             ///< used by FollowConfig
-  SnapshotClient mCompanions;        ///< used by FollowCompanions
-  bool mNeedsFullSnapshot = false;   ///< a peer's changes did not fit
-  std::uint64_t mRefusedVersion = 0; ///< of a peer with an older snapshot
-  bool mHasWatchers = false;         ///< one answered the last question
+  SnapshotClient mPeers;      ///< used by FollowConfig
+  SnapshotClient mCompanions; ///< used by FollowCompanions
+  /// A peer's incremental changes did not apply.
+  bool mNeedsFullSnapshot = false;
+  std::uint64_t mRefusedVersion = 0; ///< offered by a peer, but not newer here
+  bool mHasWatchers = false;         ///< one answered the last query
   state::RandomSource mRandom;
   Log mLog;
   bool mWasRestoreReported = false;
--- a/packages/coordination/include/shuntjunction/coordination/engine_news.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_news.h
@@ -13,10 +13,10 @@
 #include "shuntjunction/state/relay_config.h"
 #include "shuntjunction/transport/frame_channel.h"
 
-/// News of engines, from the companion beside each to the relays.
+/// Status updates of engines, sent by the companion beside each to the relays.
 namespace shuntjunction::coordination {
 
-/// What a companion says of its engine beside its parts.
+/// State of an engine as its companion reports it, without its cached parts.
 struct EngineState
 {
   std::string mEndpoint;
@@ -27,23 +27,23 @@
   bool operator==(const EngineState&) const = default;
 };
 
-/// Whose parts are told.
+/// Holder of the cached prompt parts that are reported.
 enum class PartHolder : std::uint8_t
 {
   kEngine, ///< the engine beside the companion
-  kStore,  ///< the part store, told by a few companions
+  kStore,  ///< the part store, reported by a few companions
 };
 
-/// Sends an engine's news to all relays that connect, and passes on what one of
-/// them tells the others.
+/// Sends an engine's status to all connected relays and forwards what one of
+/// them reports to the others.
 ///
-/// What relays saw of crashes it remembers for those that connect later: its
-/// own engine's crash is not its end.
+/// Crash reports of relays are remembered for those that connect later: the
+/// companion survives a crash of its engine.
 ///
-/// Of the parts that the engine keeps only those are told that a relay asked
-/// for: the others are requests' own, which nobody asks for again.
-/// A change is sent at once; without any, the state is sent again each second,
-/// so that silence is noticed.
+/// Of the parts that the engine caches, only those that a relay asked for are
+/// reported: the others belong to single requests, and nobody asks for them
+/// again. Changes are sent at once; without any, the state is sent again each
+/// second so that silence is noticed.
 /// Thread safety: none; used on the thread of its context.
 class EngineNewsServer
 {
@@ -57,39 +57,41 @@
   EngineNewsServer(const EngineNewsServer&) = delete;
   EngineNewsServer& operator=(const EngineNewsServer&) = delete;
 
-  /// Gives relays what this companion keeps of limits.
+  /// Lets relays request shares and permits from this companion.
   ///
-  /// @param aShares  of teams' limits; outlives the server
-  /// @param aLimits  rates of endpoints; outlives the server
+  /// @param aShares  shares of teams' limits; outlives the server
+  /// @param aLimits  rate limits of endpoints; outlives the server
   void SetLimits(state::LimitShares& aShares, state::EndpointLimits& aLimits);
 
-  /// Begins to accept relays; returns the address with the kernel's port.
+  /// Starts accepting relays; returns the address with the port that the kernel
+  /// assigned.
   state::Result<state::Address> Start(const state::Address& aAddress);
 
   /// Sets the engine's state.
   void SetState(const EngineState& aState);
 
-  /// Sets whether the engine answers; while it does not, it is told as down.
+  /// Sets whether the engine answers; while it does not, it is reported as
+  /// down.
   void SetDown(bool aIsDown);
 
-  /// Sets the engine's load, which is told with the next news.
+  /// Sets the engine's load, which the next update reports.
   void SetLoad(std::uint32_t aRunning, std::uint32_t aQueued);
 
-  /// Takes which life the engine itself just said to be in; what was told of
-  /// another is forgotten.
-  void SetLife(state::EndpointIncarnation aLife);
+  /// Sets the incarnation that the engine itself just reported; parts reported
+  /// for another are forgotten.
+  void SetLife(state::EndpointIncarnation aIncarnation);
 
-  /// Adds parts that a holder keeps and takes away those that it lost; what a
-  /// former life said is passed over.
+  /// Adds parts that a holder caches and removes those that it lost; reports of
+  /// a former incarnation are ignored.
   void ChangeParts(PartHolder aHolder,
-                   state::EndpointIncarnation aLife,
+                   state::EndpointIncarnation aIncarnation,
                    const std::vector<std::string>& aGained,
                    const std::vector<std::string>& aLost);
 
   /// Forgets all parts of a holder.
   void ClearParts(PartHolder aHolder);
 
-  /// Sets the address of the part store; empty: it is not told of.
+  /// Sets the address of the part store; if empty, the store is not reported.
   void SetStore(const std::string& aAddress);
 
 private:
@@ -98,7 +100,7 @@
   std::shared_ptr<Shared> mShared;
 };
 
-/// Hears the news of all engines.
+/// Receives the status of all engines.
 ///
 /// Thread safety: none; used on the thread of its context.
 class EngineNewsClient
@@ -111,22 +113,22 @@
   using RateNewsHandler = std::function<void(const state::RateNews&)>;
   using ConnectionEndHandler = std::function<void(const std::string&)>;
 
-  /// @param aPort  of the companions, the same on all machines
-  /// @param aTake  called with each news
-  /// @param aTakePart  called with what other relays tell of parts
-  /// @param aTakeCrashes  called with what they tell of crashes
-  /// @param aTakeRate  called with what companions tell of endpoints' rates
-  /// @param aTakeEnd  called with the host of a companion whose connection was
-  ///                  ended by its machine, and not given up in silence
+  /// @param aPort  port of the companions, the same on all machines
+  /// @param aOnNews  called with each status update
+  /// @param aOnPartReading  called with other relays' reports of parts
+  /// @param aOnCrashReports  called with other relays' crash reports
+  /// @param aOnRateNews  called with companions' reports of endpoints' rates
+  /// @param aOnConnectionEnd  called with the host of a companion whose
+  ///              connection was ended by its machine, not given up for silence
   EngineNewsClient(transport::asio::io_context& aContext,
                    transport::ChannelIdentity aIdentity,
                    std::uint16_t aPort,
                    EventLog& aLog,
-                   Handler aTake,
-                   PartReadingHandler aTakePart,
-                   CrashReportsHandler aTakeCrashes,
-                   RateNewsHandler aTakeRate,
-                   ConnectionEndHandler aTakeEnd);
+                   Handler aOnNews,
+                   PartReadingHandler aOnPartReading,
+                   CrashReportsHandler aOnCrashReports,
+                   RateNewsHandler aOnRateNews,
+                   ConnectionEndHandler aOnConnectionEnd);
   ~EngineNewsClient();
   EngineNewsClient(const EngineNewsClient&) = delete;
   EngineNewsClient& operator=(const EngineNewsClient&) = delete;
@@ -134,45 +136,46 @@
   /// Follows the engines among these endpoints, and no others.
   void Follow(const std::vector<state::EndpointInfo>& aEndpoints);
 
-  /// Tells the other relays of a part that an engine reads; dropped while its
-  /// companion cannot be reached.
+  /// Tells the other relays that an engine prefills a part; dropped while the
+  /// engine's companion is unreachable.
   void SendPartReading(const std::string& aEndpointAddress,
                        const protocol::PartReading& aReading);
 
-  /// Tells the other relays of crashes, by way of two companions: each of them
-  /// reaches all relays, and tells those that come later.
+  /// Reports crashes to the other relays through two companions: each of them
+  /// reaches all relays, and informs those that connect later.
   ///
-  /// @param aEndpoint  names the endpoint that crashed; all relays choose the
-  ///                   same companions for it, if they reach the same
+  /// @param aEndpoint  identifies the endpoint that crashed; relays that reach
+  ///                   the same companions choose the same ones for it
   void SendCrashReports(std::uint64_t aEndpoint,
                         const protocol::CrashReports& aReports);
 
-  /// Asks the companion of a host for a part of a limit; empty when it cannot
-  /// be reached, or gives no answer soon.
+  /// Requests a share of a limit from the companion of a host; empty when it is
+  /// unreachable or does not answer in time.
   transport::Task<std::optional<state::ShareGrant>> RequestShare(
     std::string aHost,
     state::ShareAsk aAsk);
 
-  /// Gives back to it what was not used; dropped while it cannot be reached.
+  /// Returns the unused amount of a share; dropped while the companion is
+  /// unreachable.
   void ReturnShare(const std::string& aHost,
                    const protocol::LimitReturn& aBack);
 
-  /// Asks the companion of a host for a place at an endpoint; empty when it
-  /// cannot be reached, or gives no answer soon.
+  /// Requests a permit for an endpoint from the companion of a host; empty when
+  /// it is unreachable or does not answer in time.
   transport::Task<std::optional<state::PlaceGrant>> RequestPermit(
     std::string aHost,
     state::PlaceAsk aAsk);
 
-  /// Gives back a place; dropped while its keeper cannot be reached.
+  /// Returns a permit; dropped while the companion is unreachable.
   void ReturnPermit(const std::string& aHost, state::LimitHash aEndpoint);
 
-  /// Reports what an endpoint's answer said of its rate; dropped likewise.
+  /// Reports the rate that an endpoint's answer advertised; dropped likewise.
   void ReportRate(const std::string& aHost, const state::RateReport& aReport);
 
-  /// Sets what of this relay waits at an engine; its companion is told when it
-  /// changed much.
+  /// Sets the tokens that this relay has queued at an engine; its companion is
+  /// informed when the number changed enough.
   ///
-  /// @param aPart  see protocol::RelayWaiting; told at once unless empty
+  /// @param aPart  see protocol::RelayWaiting; sent at once unless empty
   void SetWaiting(const std::string& aEndpointAddress,
                   const state::WaitingTokens& aWaiting,
                   const std::string& aPart);
--- a/packages/coordination/include/shuntjunction/coordination/part_follower.h
+++ b/packages/coordination/include/shuntjunction/coordination/part_follower.h
@@ -7,42 +7,42 @@
 #include "shuntjunction/coordination/event_log.h"
 #include "shuntjunction/state/part_index.h"
 
-/// Follows what an engine or a part store keeps.
+/// Follows which prompt parts an engine or a part store caches.
 namespace shuntjunction::coordination {
 
-/// Hears changes of kept parts and passes them on in groups.
+/// Polls for changes of cached parts and delivers them in batches.
 ///
-/// What it says is a hint: changes come late, and a few never.
+/// The result is a hint: changes arrive late, and a few never do.
 /// Thread safety: none; used on the thread of its context.
 class PartFollower
 {
 public:
-  /// Takes the names of parts that are kept now, and of those that are not, in
-  /// a life of their holder.
-  using Handler = std::function<void(state::EndpointIncarnation aLife,
+  /// Receives the names of parts that are cached now, and of those that no
+  /// longer are, in one incarnation of their holder.
+  using Handler = std::function<void(state::EndpointIncarnation aIncarnation,
                                      const std::vector<std::string>& aGained,
                                      const std::vector<std::string>& aLost)>;
 
-  /// @param aSource  outlives the follower, as does the log
-  /// @param aTake    called with each group of changes
-  /// @param aOnClear   called when nothing is kept any more
+  /// @param aSource     outlives the follower, as does the log
+  /// @param aOnChanges  called with each batch of changes
+  /// @param aOnClear    called when nothing is cached any more
   PartFollower(transport::asio::io_context& aContext,
                EngineControl& aSource,
                EventLog& aLog,
-               Handler aTake,
+               Handler aOnChanges,
                std::function<void()> aOnClear);
 
-  /// Begins to follow.
+  /// Starts following.
   void Start();
 
 private:
   transport::Task<void> Run();
-  void Take(const PartChanges& aChanges);
+  void Deliver(const PartChanges& aChanges);
 
   transport::asio::io_context& mContext;
   EngineControl& mSource;
   EventLog& mLog;
-  Handler mTake;
+  Handler mOnChanges;
   std::function<void()> mOnClear;
   std::uint64_t mEpoch = 0;
   std::uint64_t mNext = 0;
--- a/packages/coordination/include/shuntjunction/coordination/relay.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay.h
@@ -10,10 +10,10 @@
 #include "shuntjunction/coordination/relay_settings.h"
 #include "shuntjunction/protocol/messages.h"
 
-/// Takes callers' requests and passes each on to an endpoint of its route.
+/// Accepts callers' requests and forwards each to an endpoint of its route.
 namespace shuntjunction::coordination {
 
-/// What a relay is built from; all parts outlive it.
+/// Dependencies of a relay; all of them outlive it.
 struct RelayDependencies
 {
   transport::asio::io_context& mContext;
@@ -24,41 +24,43 @@
   const state::ListFreshness& mEndpointList;
   EventLog& mLog;
   Metrics& mMetrics;
-  /// Tells the other relays of a part that the engine of an address reads;
-  /// empty: they are not told.
+  /// Tells the other relays that the engine at an address prefills a part; if
+  /// empty, they are not told.
   std::function<void(const std::string&, const protocol::PartReading&)>
     mSendPartReading = {};
-  /// Tells what of this relay waits at the engine of an address, and a part of
-  /// which it wants news, if any; empty: it is not told.
+  /// Reports the tokens that this relay has queued at the engine at an address,
+  /// and a part of which it wants updates, if any; if empty, nothing is
+  /// reported.
   std::function<
     void(const std::string&, const state::WaitingTokens&, const std::string&)>
     mReportWaiting = {};
-  /// Tells the other relays of crashes of an endpoint, which the number names;
-  /// empty: they are not told.
+  /// Reports crashes of the endpoint with this number to the other relays; if
+  /// empty, they are not told.
   std::function<void(std::uint64_t, const protocol::CrashReports&)>
     mSendCrashReports = {};
-  /// Asks the companion of a host for a part of a team's limit; empty: no
-  /// companion can be asked, and teams with limits are refused.
+  /// Requests a share of a team's limit from the companion of a host; if empty,
+  /// no companion can be asked, and teams with limits are refused.
   std::function<transport::Task<std::optional<state::ShareGrant>>(
     std::string,
     state::ShareAsk)>
     mRequestShare = {};
-  /// Gives back to it what was not used.
+  /// Returns to the companion what was not used.
   std::function<void(const std::string&, const protocol::LimitReturn&)>
     mReturnShare = {};
-  /// Asks the companion of a host for a place at an endpoint that names a rate;
-  /// empty: none can be asked, and such endpoints get nothing.
+  /// Requests a permit from the companion of a host for an endpoint that
+  /// advertises a rate; if empty, none can be asked, and such endpoints get no
+  /// requests.
   std::function<transport::Task<std::optional<state::PlaceGrant>>(
     std::string,
     state::PlaceAsk)>
     mRequestPermit = {};
-  /// Gives back to it a place whose request was not sent.
+  /// Returns to the companion a permit whose request was not sent.
   std::function<void(const std::string&, state::LimitHash)> mReturnPermit = {};
-  /// Reports to it what an endpoint's answer said of its rate.
+  /// Reports to the companion the rate that an endpoint's answer advertised.
   std::function<void(const std::string&, const state::RateReport&)>
     mReportRate = {};
-  /// Keeps in the platform's store that a request is quarantined, and for how
-  /// long; empty: it is not kept.
+  /// Records in the platform's store that a request is quarantined, and for how
+  /// long; if empty, it is not recorded.
   std::function<void(const state::RequestDigest&, state::Millis)>
     mStoreQuarantine = {};
 };
@@ -69,48 +71,49 @@
 class Relay
 {
 public:
-  explicit Relay(const RelayDependencies& aParts);
+  explicit Relay(const RelayDependencies& aDependencies);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  /// Begins to accept callers.
+  /// Starts accepting callers.
   state::Result<state::Address> Start();
 
-  /// Takes a newer view of the platform's objects.
+  /// Applies a newer view of the platform's objects.
   void ApplyView(std::shared_ptr<const RelayView> aView);
 
-  /// Takes what an engine's companion said.
+  /// Applies a status update of an engine's companion.
   void ApplyNews(const protocol::EngineNews& aNews);
 
-  /// Takes that the machine of a host ended its companion's connection.
+  /// Handles that the machine of a host ended its companion's connection.
   void HandleNewsConnectionEnd(const std::string& aHost);
 
-  /// Takes what another relay told of a part.
+  /// Applies another relay's report of a part.
   void ApplyPartReading(const protocol::PartReading& aReading);
 
-  /// Takes what other relays saw of crashes.
+  /// Applies other relays' crash reports.
   void ApplyCrashReports(const protocol::CrashReports& aReports);
 
-  /// Takes what the keeper of an endpoint's rate tells all relays.
+  /// Applies the rate of an endpoint that its owner, a companion, sends to all
+  /// relays.
   void ApplyRateNews(const state::RateNews& aNews);
 
-  /// Brings the gauges among the metrics up to date.
+  /// Updates the gauges among the metrics.
   void SetGauges();
 
-  /// Whether the balancer may send connections here.
+  /// Whether the load balancer may send connections here.
   bool IsReady() const;
 
-  /// Begins a stop: unready at once, still serving.
+  /// Begins to shut down: unready at once, still serving.
   void BeginStop();
 
-  /// Refuses new requests and closes connections that rest.
+  /// Refuses new requests and closes idle connections.
   void RefuseNew();
 
-  /// Requests that are being served.
+  /// Number of requests being served.
   std::size_t Active() const;
 
-  /// Open connections of callers.
+  /// Number of open caller connections.
   std::size_t Connections() const;
 
   struct Core; ///< private to coordination
--- a/packages/coordination/include/shuntjunction/coordination/relay_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_feed.h
@@ -18,10 +18,11 @@
 #include "shuntjunction/state/relay_config.h"
 #include "shuntjunction/state/request_digest.h"
 
-/// What a process believes of the platform's objects.
+/// A process's view of the platform's objects.
 namespace shuntjunction::coordination {
 
-/// Versions of a model's weights that were named while this process lived.
+/// Versions of a model's weights that were announced since this process
+/// started.
 struct WeightsHistory
 {
   /// One version.
@@ -31,18 +32,20 @@
     state::TimePoint mLearnedAt; ///< when this process learned of it
   };
 
-  std::vector<VersionRecord> mVersions; ///< rising; the last is the newest
-  /// Ids of the engines in the order in which they load the newest, as of when
-  /// it became known, so that no load changes the turns of the others.
+  std::vector<VersionRecord> mVersions; ///< ascending; the last is the newest
+  /// Ids of the engines in the order in which they load the newest version. The
+  /// order is fixed when the version becomes known, so that no load changes the
+  /// turns of the others.
   std::vector<std::string> mLoadOrder;
 
-  /// The newest version; 0 when none was named.
+  /// The newest version; 0 when none was announced.
   std::uint64_t Newest() const
   {
     return mVersions.empty() ? 0 : mVersions.back().mVersion;
   }
 
-  /// When the newest version became known; the epoch when none was named.
+  /// When the newest version became known; the clock's epoch when none was
+  /// announced.
   state::TimePoint NewestLearnedAt() const
   {
     return mVersions.empty() ? state::TimePoint() : mVersions.back().mLearnedAt;
@@ -59,10 +62,10 @@
   std::uint64_t mRevision = 0;
 };
 
-/// All of them.
+/// Quarantined requests by their digest.
 using QuarantinedRequests = std::map<state::RequestDigest, QuarantinedRequest>;
 
-/// A consistent view, replaced as a whole.
+/// A consistent view of the objects; replaced as a whole.
 struct RelayView
 {
   std::shared_ptr<const state::RelayConfig> mConfig =
@@ -72,7 +75,7 @@
   QuarantinedRequests mQuarantined;
 };
 
-/// Hosts of the companions, one beside each engine, with their zones.
+/// Zones of the companions, one beside each engine, by their hosts.
 std::map<std::string, std::string>
 CompanionZones(const std::vector<state::EndpointInfo>& aEndpoints);
 
@@ -80,37 +83,38 @@
 struct RelayFeedSettings
 {
   /// Longest wait of a watch on the configuration. Each return confirms that
-  /// nothing changed, and keys need that: see state::ConfirmationWait.
+  /// nothing changed, which the validity of keys depends on: see
+  /// state::ConfirmationWait.
   state::Millis mConfigWait{ 1000 };
   /// Longest wait of the other watches.
   state::Millis mListWait{ 20000 };
-  /// Pause before the list is watched again, so that several changes are taken
-  /// by one call.
+  /// Pause before the list is watched again, so that one call returns several
+  /// changes.
   state::Millis mListPause{ 150 };
   state::Millis mFirstPause{ 100 }; ///< after a failed call
   state::Millis mLongestPause{ 600 };
   bool mWatchesConfig = true;
-  /// Whether quarantined requests are followed: relays do.
+  /// Whether quarantined requests are followed, as relays do.
   bool mFollowsQuarantine = false;
-  /// Longest wait of the configuration's watch, and pause between two watches
-  /// of the list, while others are told of both.
+  /// Longest wait of the watch on the configuration, and pause between two
+  /// watches of the list, while this process passes both on to others.
   state::Millis mWatcherWait{ 500 };
   state::Millis mWatcherPause{ 400 };
 };
 
-/// Keeps a view of configuration, endpoints and named weights.
+/// Keeps a view of configuration, endpoints and announced weights current.
 ///
-/// Configuration never falls back in a process's life.
-/// Thread safety: none; used on the thread of its context, but Confirmed,
+/// The configuration never goes back to an older version within a process.
+/// Thread safety: none; used on the thread of its context, except Confirmed,
 /// EndpointList and RefusedObjects.
 class RelayFeed
 {
 public:
   using Handler = std::function<void(std::shared_ptr<const RelayView>)>;
 
-  /// @param aMirror  gets all that the store says, for others
-  /// @param aTake  called on the feed's thread with each new view
-  /// The other parts outlive the feed.
+  /// @param aMirror  receives all that the store reports, for other processes
+  /// @param aOnView  called on the feed's thread with each new view
+  /// All references must outlive the feed.
   RelayFeed(transport::asio::io_context& aContext,
             const RelayFeedSettings& aSettings,
             Platform& aPlatform,
@@ -118,29 +122,29 @@
             const state::Clock& aClock,
             EventLog& aLog,
             state::ObjectMirror& aMirror,
-            Handler aTake);
+            Handler aOnView);
   ~RelayFeed();
   RelayFeed(const RelayFeed&) = delete;
   RelayFeed& operator=(const RelayFeed&) = delete;
 
-  /// Begins to follow the platform.
+  /// Starts following the platform.
   void Start();
 
-  /// Follows the store for others too: the configuration as well, and each
-  /// change soon. Nothing changes for a process that follows it anyway.
+  /// Follows the store for other processes too: the configuration as well, and
+  /// each change promptly. Has no effect on a process that always follows it.
   void BeginWatching();
 
-  /// Follows the store for this process alone again.
+  /// Follows the store only for this process again.
   void EndWatching();
 
-  /// When the configuration was last confirmed; may be asked from any thread.
+  /// When the configuration was last confirmed; may be called from any thread.
   const state::Freshness& Confirmed() const { return mConfirmed; }
 
-  /// How current the list of endpoints is; may be asked from any thread.
+  /// How current the list of endpoints is; may be called from any thread.
   const state::ListFreshness& EndpointList() const;
 
-  /// Objects that could not be read, each change of one once; may be asked from
-  /// any thread.
+  /// Number of objects that could not be read, counted once per revision; may
+  /// be called from any thread.
   std::uint64_t RefusedObjects() const { return mRefusedObjects.load(); }
 
 private:
@@ -152,52 +156,54 @@
   transport::Task<state::Result<void>> ListOnce(Topic& aTopic);
   transport::Task<state::Result<void>> WatchOnce(Topic& aTopic);
   transport::Task<void> ExpireEndpoints();
-  /// Looks from time to time whether the store answers and whether the watch of
-  /// the weights has missed any; makes the watches anew if so.
+  /// Checks periodically whether the store answers and whether the watch of the
+  /// weights missed any; renews the watches if they are stale.
   transport::Task<void> CheckStoreLiveness();
   bool HasNewerWeights(const ObjectList& aList) const;
-  /// Whether a topic asks, for all, whether a store that was lost is back. A
-  /// whole watch would tell so only at its end; the others wait for the word.
+  /// Whether a topic probes, for all topics, if a lost store is back. A watch
+  /// of full length would show this only at its end; the other topics wait for
+  /// the result of the probe.
   bool IsProbing(const Topic& aTopic) const;
   /// Whether a topic is still followed.
   bool IsFollowed(const Topic& aTopic) const;
-  /// Takes who gave an answer; the time as of which it is true.
+  /// Records who gave an answer; returns the time as of which the answer holds.
   state::TimePoint NoteSource(const std::optional<MirrorFreshness>& aSource,
                               state::TimePoint aAskedAt);
-  /// Tells the mirror how far the lists are known.
+  /// Tells the mirror up to which revision the lists are known.
   void UpdateMirror();
-  /// Takes the store's revision from a topic's answer.
+  /// Records the store's revision from a topic's answer.
   void NoteRevision(Topic& aTopic,
                     std::uint64_t aRevision,
                     state::TimePoint aAskedAt);
-  /// Takes all objects of a topic, for others too; whether it brought anything
-  /// new.
-  bool MergeList(Topic& aTopic, const ObjectList& aList);
-  void MergeChange(Topic& aTopic, const state::RawObject& aChange);
-  /// Reads the lists anew whose watches do not tell of what the store has.
+  /// Applies all objects of a topic and passes them to the mirror; returns
+  /// whether any of them is new.
+  bool ApplyList(Topic& aTopic, const ObjectList& aList);
+  void ApplyChange(Topic& aTopic, const state::RawObject& aChange);
+  /// Re-reads the lists whose watches did not report a change that the store
+  /// has.
   void CheckLists();
   transport::Task<void> CheckList(Topic& aTopic);
   transport::Task<void> RereadList(Topic& aTopic);
   void NoteCallFailure(Topic& aTopic, const state::Error& aError);
   void NoteSuccess(Topic& aTopic);
-  /// Ends the calls that wait since before the last trouble: a store that fell
-  /// silent may never answer them, though it answers new ones.
+  /// Cancels the calls that have waited since before the last failure: a store
+  /// that stopped responding may never answer them, though it answers new ones.
   void AbandonOldCalls();
-  /// @return whether it is newer than the one in force
+  /// @return whether it is newer than the active one
   bool ApplyConfig(const state::RawObject& aObject);
-  /// Reads an endpoint; an entry of another writer names none.
+  /// Reads an endpoint; empty for an entry of another writer.
   std::optional<state::EndpointInfo> ReadEndpoint(
     const state::RawObject& aObject);
-  /// Counts an object that cannot be read, and logs it once.
+  /// Counts an object that cannot be read and logs each revision of it once.
   void RefuseObject(std::string_view aEvent,
                     const state::RawObject& aObject,
                     const state::Error& aError);
-  /// Endpoints of services that the configuration names.
+  /// Endpoints of the services in the configuration.
   std::vector<state::EndpointInfo> KnownEndpoints() const;
   void ApplyEndpoint(const state::RawObject& aObject);
   /// @return whether it is newer than what is known
   bool ApplyWeights(const state::RawObject& aObject);
-  /// Takes a request that is quarantined, or no more; whether that is news.
+  /// Applies the start or end of a quarantine; returns whether it is new.
   bool ApplyQuarantined(const state::RawObject& aObject);
   /// @return whether it brought anything new
   bool ApplyEndpointList(const std::vector<state::RawObject>& aObjects);
@@ -210,7 +216,7 @@
   const state::Clock& mClock;
   EventLog& mLog;
   state::ObjectMirror& mMirror;
-  Handler mTake;
+  Handler mOnView;
   std::unique_ptr<Topic> mConfigTopic;
   std::unique_ptr<Topic> mEndpointTopic;
   std::unique_ptr<Topic> mWeightsTopic;
@@ -218,9 +224,9 @@
   state::EndpointDirectory mDirectory;
   state::Freshness mConfirmed;
   RelayView mView;
-  bool mIsWatching = false;    ///< see BeginWatching
-  state::TimePoint mTroubleAt; ///< of the last call that failed
-  /// Objects that could not be read last, and their revisions.
+  bool mIsWatching = false;        ///< see BeginWatching
+  state::TimePoint mLastFailureAt; ///< time of the last failed call
+  /// Objects whose latest revision could not be read, with that revision.
   std::map<std::string, std::uint64_t, std::less<>> mRefused;
   std::atomic<std::uint64_t> mRefusedObjects{ 0 };
   state::RandomSource mRandom;
--- a/packages/coordination/src/answer_sink.cpp
+++ b/packages/coordination/src/answer_sink.cpp
@@ -22,7 +22,7 @@
   {
   }
 
-  Task<Result<void>> Tokens(std::string aText) override
+  Task<Result<void>> WriteTokens(std::string aText) override
   {
     const auto begun = co_await Begin();
     if (!begun) {
@@ -53,7 +53,8 @@
       co_await mExchange.Respond(ErrorResponse(aError, mHead.mId));
       co_return;
     }
-    // No end mark, no last chunk: it cannot be taken for a whole answer.
+    // Without end marker and last chunk it cannot be taken for a complete
+    // answer.
     co_await mExchange.Write("data: " + WriteError(aError) + "\n\n");
     mExchange.Abort();
   }
@@ -86,7 +87,7 @@
   {
   }
 
-  Task<Result<void>> Tokens(std::string aText) override
+  Task<Result<void>> WriteTokens(std::string aText) override
   {
     mText += aText;
     co_return Result<void>{};
@@ -120,7 +121,7 @@
   {
   }
 
-  Task<Result<void>> Tokens(std::string /*aText*/) override
+  Task<Result<void>> WriteTokens(std::string /*aText*/) override
   {
     co_return Result<void>{};
   }
--- a/packages/coordination/src/answer_sink.h
+++ b/packages/coordination/src/answer_sink.h
@@ -9,37 +9,38 @@
 
 namespace shuntjunction::coordination {
 
-/// Where a request's answer goes, in the form that its caller asked for.
+/// Writes a request's answer in the form that its caller asked for.
 class AnswerSink
 {
 public:
   virtual ~AnswerSink() = default;
 
-  /// Takes the next tokens of the answer.
-  virtual transport::Task<state::Result<void>> Tokens(std::string aText) = 0;
+  /// Writes the next tokens of the answer.
+  virtual transport::Task<state::Result<void>> WriteTokens(
+    std::string aText) = 0;
 
-  /// Ends a complete answer.
+  /// Completes the answer.
   virtual transport::Task<void> Finish(protocol::Finished aFinished) = 0;
 
-  /// Ends in an error, which never looks like a complete answer.
+  /// Ends the answer in an error, which never looks like a complete answer.
   virtual transport::Task<void> Fail(ApiError aError) = 0;
 };
 
-/// The HTTP response of an error.
+/// The HTTP response for an error.
 transport::HttpResponse
 ErrorResponse(const ApiError& aError, std::string_view aRequestId);
 
-/// An answer as server-sent events, each sent as it comes.
+/// Sends an answer as server-sent events, each as it arrives.
 std::unique_ptr<AnswerSink>
 MakeStreamSink(transport::HttpExchange& aExchange,
                ResponseMetadata aHead,
                bool aWantsUsage);
 
-/// An answer of a model as one JSON object.
+/// Sends the answer of a model as one JSON object.
 std::unique_ptr<AnswerSink>
 MakeBufferedSink(transport::HttpExchange& aExchange, ResponseMetadata aHead);
 
-/// The answer of a plain service, passed on as it came.
+/// Forwards the answer of a plain service as it came.
 std::unique_ptr<AnswerSink>
 MakeServiceSink(transport::HttpExchange& aExchange, std::string aRequestId);
 
--- a/packages/coordination/src/config_feed.cpp
+++ b/packages/coordination/src/config_feed.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr Millis kFirstWatch{ 500 };
-constexpr double kJitter = 0.5; ///< share by which a pause may be longer
+constexpr double kJitter = 0.5; ///< fraction by which a pause may be longer
 
 } // namespace
 
@@ -66,13 +66,13 @@
 ConfigFeed::LogActiveConfig() const
 {
   const auto& snapshot = *mStore.Current();
-  mLog.Info("version " + std::to_string(snapshot.mVersion.mRevision) +
-            " of epoch " + std::to_string(snapshot.mVersion.mEpoch) +
-            " is in force.");
+  mLog.Info("configuration version " +
+            std::to_string(snapshot.mVersion.mRevision) + " of epoch " +
+            std::to_string(snapshot.mVersion.mEpoch) + " is active.");
   for (const auto& object : snapshot.mQuarantined) {
     mLog.Warn("object " + object.mKey + " of revision " +
               std::to_string(object.mRevision) +
-              " is not in force: " + object.mReason + ".");
+              " is not applied: " + object.mReason + ".");
   }
 }
 
@@ -105,7 +105,7 @@
         mLog.Warn("the platform answers with revision " +
                   std::to_string(aRevision) + ", older than revision " +
                   std::to_string(mStore.Cursor().mRevision) +
-                  " seen before; it is not followed.");
+                  " seen before; the answer is ignored.");
       }
       return;
   }
@@ -118,7 +118,8 @@
   const auto list = co_await mPlatform.List(std::string(state::kConfigPrefix));
   if (!list) {
     ++mCounters.mPlatformErrors;
-    mLog.Warn("the list failed: " + list.error().Describe() + ".");
+    mLog.Warn("listing the configuration failed: " + list.error().Describe() +
+              ".");
     co_return false;
   }
   const auto outcome = mStore.ApplyList(list->mRevision, list->mObjects);
@@ -131,14 +132,15 @@
 {
   ++mCounters.mPlatformCalls;
   const std::uint64_t after = mStore.Cursor().mRevision;
-  // Whether this process watches at all is known with the instances.
+  // Only the list of instances tells whether this process has to watch at all.
   const Millis wait =
     mInstances->empty() ? kFirstWatch : mSettings.mWatchTimeout;
   const auto watch =
     co_await mPlatform.Watch(std::string(state::kConfigPrefix), after, wait);
   if (!watch) {
     ++mCounters.mPlatformErrors;
-    mLog.Warn("the watch failed: " + watch.error().Describe() + ".");
+    mLog.Warn("watching the configuration failed: " + watch.error().Describe() +
+              ".");
     co_return false;
   }
   const bool isNewEpoch = std::any_of(
@@ -146,8 +148,8 @@
       return aChange.mKey == state::kEpochKey;
     });
   if (watch->mIsGap || isNewEpoch || mStore.Cursor().mRevision != after) {
-    // Changes were lost, the platform was restored, or a peer was faster: the
-    // answer does not follow on.
+    // Changes were lost, the platform was restored, or a peer's snapshot came
+    // first: the answer does not continue the current state.
     mCounters.mGaps += watch->mIsGap ? 1 : 0;
     co_return co_await ListAll();
   }
@@ -165,8 +167,8 @@
 Task<bool>
 ConfigFeed::IsEpochCurrent()
 {
-  // A platform that was restored may have passed the revision up to which
-  // this process knows it, and a watch does not tell.
+  // A restored platform may already be past the revision that this process
+  // knows, and a watch does not show that.
   ++mCounters.mPlatformCalls;
   const auto found = co_await mPlatform.Read(std::string(state::kEpochKey));
   if (!found || !*found) {
@@ -195,7 +197,7 @@
       isListed = true;
       continue;
     }
-    // What was missed meanwhile is not known: list again.
+    // Changes may have been missed meanwhile: list again.
     isListed = false;
     co_await QueryPeers();
     co_await PauseAfterFailure();
@@ -248,13 +250,14 @@
       co_await mPlatform.Instances(after, mSettings.mWatchTimeout);
     if (!list) {
       ++mCounters.mPlatformErrors;
-      mLog.Warn("the list of instances failed: " + list.error().Describe() +
+      mLog.Warn("listing the instances failed: " + list.error().Describe() +
                 ".");
       co_await PauseAfterFailure();
       continue;
     }
     isFirst = false;
-    // The list only says who may exist, so that an older one does no harm.
+    // The list only names instances that may exist, so an older one does no
+    // harm.
     mInstancesRevision = list->mRevision;
     if (*mInstances != list->mInstances) {
       mInstances = std::make_shared<const std::vector<state::InstanceInfo>>(
--- a/packages/coordination/src/config_feed_peers.cpp
+++ b/packages/coordination/src/config_feed_peers.cpp
@@ -1,5 +1,5 @@
-// What a feed takes from peers: from its zone's watchers in a large fleet, from
-// any of its settings while the platform is down.
+// Snapshots from peers: from the watchers of the zone in a large fleet, from
+// any peer of the settings while the platform is down.
 
 #include <algorithm>
 
@@ -33,12 +33,12 @@
   have.mHaveInstances = mInstancesRevision;
   const auto reply = co_await aClient.Ask(aAddress, have);
   if (!reply) {
-    mLog.Debug("no snapshot: " + reply.error().Describe() + ".");
+    mLog.Debug("no snapshot received: " + reply.error().Describe() + ".");
     co_return false;
   }
   mNeedsFullSnapshot = false;
   ApplyPeerSnapshot(*reply, aAddress);
-  // What is older here is not asked for again and again.
+  // A snapshot that turned out to be older is not requested again and again.
   if (!mNeedsFullSnapshot && reply->mVersion > Version().Packed()) {
     mRefusedVersion = reply->mVersion;
   }
@@ -110,15 +110,15 @@
   if (!outcome) {
     const bool isUnfit = outcome.error().mCode == state::ErrorCode::kConflict;
     mNeedsFullSnapshot = mNeedsFullSnapshot || isUnfit;
-    mLog.Warn("a snapshot of " + aPeer +
-              " was refused: " + outcome.error().Describe() + ".");
+    mLog.Warn("a snapshot from " + aPeer +
+              " was rejected: " + outcome.error().Describe() + ".");
     return false;
   }
   if (*outcome != MergeOutcome::kApplied) {
     return false;
   }
   ++mCounters.mFromPeers;
-  mLog.Info("took a snapshot from " + aPeer + ".");
+  mLog.Info("applied a snapshot from " + aPeer + ".");
   LogActiveConfig();
   return true;
 }
@@ -131,8 +131,8 @@
     return false;
   }
   const auto refuse = [&](const state::Error& aError) {
-    mLog.Warn("the instances of " + aPeer +
-              " were refused: " + aError.Describe() + ".");
+    mLog.Warn("the instances from " + aPeer +
+              " were rejected: " + aError.Describe() + ".");
     return false;
   };
   const auto value = state::ParseJson(aText, "instances");
--- a/packages/coordination/src/engine_news_client.cpp
+++ b/packages/coordination/src/engine_news_client.cpp
@@ -1,4 +1,5 @@
-// A relay's end of the news: follows the companion beside every engine.
+// The relay's side of the status updates: follows the companion beside every
+// engine.
 
 #include "shuntjunction/coordination/engine_news.h"
 
@@ -20,21 +21,21 @@
 
 constexpr std::string_view kPart = "news";
 
-/// A channel that says nothing for this long is opened anew; the state comes
-/// every second.
+/// A channel that is silent for this long is reopened; the state arrives every
+/// second.
 constexpr Millis kSilenceLimit{ 2300 };
 
 constexpr Millis kConnectTimeout{ 500 };
 
-/// Waiting tokens that must have come or gone before a companion is told: some
-/// 25 ms of an engine's reading.
+/// Change in waiting tokens that is reported to a companion: about 25 ms of an
+/// engine's prefill.
 constexpr std::int64_t kMinTokenChange = 1000;
 
-/// Companions that pass a crash on: one of them may be about to end itself.
+/// Companions that forward a crash: one of them may be about to stop itself.
 constexpr std::size_t kCrashForwarders = 2;
 
-/// Wait for what a companion gives of a limit: longer than a machine pauses for
-/// its processor quota. Another companion is asked then.
+/// Wait for a companion's grant: longer than a machine pauses when its
+/// processor quota is used up. Another companion is asked after it.
 constexpr Millis kGrantTimeout{ 100 };
 
 /// Pauses between two attempts to reach a companion.
@@ -46,54 +47,54 @@
 struct EngineNewsClient::Shared : std::enable_shared_from_this<Shared>
 {
   /// One companion that is followed.
-  struct Source
+  struct CompanionLink
   {
     std::string mAddress;
     std::shared_ptr<FrameChannel> mChannel;
     bool mIsWanted = true;
     state::WaitingTokens mWaiting;     ///< of this relay there
-    state::WaitingTokens mSentWaiting; ///< on this channel
+    state::WaitingTokens mSentWaiting; ///< last sent on this channel
   };
 
   Shared(asio::io_context& aContext,
          transport::ChannelIdentity aIdentity,
          std::uint16_t aPort,
          EventLog& aLog,
-         Handler aTake,
-         PartReadingHandler aTakePart,
-         CrashReportsHandler aTakeCrashes,
-         RateNewsHandler aTakeRate,
-         ConnectionEndHandler aTakeEnd)
+         Handler aOnNews,
+         PartReadingHandler aOnPartReading,
+         CrashReportsHandler aOnCrashReports,
+         RateNewsHandler aOnRateNews,
+         ConnectionEndHandler aOnConnectionEnd)
     : mContext(aContext)
     , mIdentity(std::move(aIdentity))
     , mPort(aPort)
     , mLog(aLog)
-    , mTake(std::move(aTake))
-    , mOnPartReading(std::move(aTakePart))
-    , mOnCrashReports(std::move(aTakeCrashes))
-    , mOnRateNews(std::move(aTakeRate))
-    , mOnConnectionEnd(std::move(aTakeEnd))
+    , mOnNews(std::move(aOnNews))
+    , mOnPartReading(std::move(aOnPartReading))
+    , mOnCrashReports(std::move(aOnCrashReports))
+    , mOnRateNews(std::move(aOnRateNews))
+    , mOnConnectionEnd(std::move(aOnConnectionEnd))
   {
   }
 
-  Task<void> Run(std::shared_ptr<Source> aSource)
+  Task<void> Run(std::shared_ptr<CompanionLink> aLink)
   {
     const auto self = shared_from_this();
     Millis pause = kFirstPause;
-    while (aSource->mIsWanted) {
-      const auto address = state::ParseAddress(aSource->mAddress);
+    while (aLink->mIsWanted) {
+      const auto address = state::ParseAddress(aLink->mAddress);
       auto channel = co_await transport::ConnectChannel(
         *address, mIdentity, kConnectTimeout, mCounters);
-      if (channel && aSource->mIsWanted) {
+      if (channel && aLink->mIsWanted) {
         pause = kFirstPause;
         mLog.Write(EventLine(kPart, "companion-regained")
-                     .Add("address", aSource->mAddress));
-        const bool isEnded = co_await Listen(aSource, *channel);
+                     .Add("address", aLink->mAddress));
+        const bool isEnded = co_await ReceiveMessages(aLink, *channel);
         if (isEnded) {
           mOnConnectionEnd(address->mHost);
         }
         mLog.Write(EventLine(kPart, "companion-lost")
-                     .Add("address", aSource->mAddress)
+                     .Add("address", aLink->mAddress)
                      .Add("ended", isEnded));
       }
       co_await transport::Sleep(state::JitteredPause(pause, mRandom));
@@ -101,16 +102,16 @@
     }
   }
 
-  /// Takes what a companion tells; whether its machine ended the connection,
-  /// rather than saying nothing any more.
-  Task<bool> Listen(std::shared_ptr<Source> aSource,
-                    std::shared_ptr<FrameChannel> aChannel)
+  /// Handles a companion's messages; returns whether its machine ended the
+  /// connection, rather than going silent.
+  Task<bool> ReceiveMessages(std::shared_ptr<CompanionLink> aLink,
+                             std::shared_ptr<FrameChannel> aChannel)
   {
-    aSource->mChannel = aChannel;
-    aSource->mSentWaiting = {};
-    ReportWaiting(*aSource);
+    aLink->mChannel = aChannel;
+    aLink->mSentWaiting = {};
+    ReportWaiting(*aLink);
     transport::Timer silence(mContext);
-    while (aSource->mIsWanted) {
+    while (aLink->mIsWanted) {
       silence.expires_after(kSilenceLimit);
       silence.async_wait([aChannel](const auto& aError) {
         if (!aError) {
@@ -123,7 +124,7 @@
         break;
       }
       if (const auto* news = std::get_if<EngineNews>(&*message)) {
-        mTake(*news);
+        mOnNews(*news);
       } else if (const auto* reading =
                    std::get_if<protocol::PartReading>(&*message)) {
         mOnPartReading(*reading);
@@ -142,26 +143,26 @@
       }
     }
     aChannel->Close();
-    aSource->mChannel = nullptr;
+    aLink->mChannel = nullptr;
     co_return aChannel->IsEndedByPeer();
   }
 
-  /// Tells what waits there, if that differs enough from what was told, or asks
-  /// for news of a part.
-  static void ReportWaiting(Source& aSource, const std::string& aPart = {})
+  /// Reports what waits there if it differs enough from the last report, or
+  /// requests updates of a part.
+  static void ReportWaiting(CompanionLink& aLink, const std::string& aPart = {})
   {
-    const auto now = aSource.mWaiting.Total();
-    const auto told = aSource.mSentWaiting.Total();
-    const bool isDue = std::abs(now - told) >= kMinTokenChange || now == 0;
-    const bool isNews = isDue && aSource.mWaiting != aSource.mSentWaiting;
-    if (!aSource.mChannel || (!isNews && aPart.empty())) {
+    const auto now = aLink.mWaiting.Total();
+    const auto sent = aLink.mSentWaiting.Total();
+    const bool isDue = std::abs(now - sent) >= kMinTokenChange || now == 0;
+    const bool isNews = isDue && aLink.mWaiting != aLink.mSentWaiting;
+    if (!aLink.mChannel || (!isNews && aPart.empty())) {
       return;
     }
-    aSource.mSentWaiting = aSource.mWaiting;
-    aSource.mChannel->Send(protocol::RelayWaiting{ aSource.mWaiting, aPart });
+    aLink.mSentWaiting = aLink.mWaiting;
+    aLink.mChannel->Send(protocol::RelayWaiting{ aLink.mWaiting, aPart });
   }
 
-  /// A question that waits for its answer.
+  /// A request that waits for its reply.
   struct PendingRequest
   {
     explicit PendingRequest(asio::io_context& aContext)
@@ -169,7 +170,7 @@
     {
     }
 
-    transport::Timer mSignal; ///< cancelled by the answer
+    transport::Timer mSignal; ///< cancelled by the reply
     std::optional<protocol::Message> mReply;
   };
 
@@ -182,16 +183,17 @@
     }
   }
 
-  /// Asks a companion; empty when it cannot be reached or does not answer soon.
+  /// Sends a request to a companion; empty when it is unreachable or does not
+  /// reply in time.
   ///
-  /// @param aMake  makes the question of its id
-  /// @tparam Reply  what answers it
+  /// @param aMake  makes the request from its id
+  /// @tparam Reply  type of the reply
   template<typename Reply, typename Make>
   Task<std::optional<Reply>> RequestFromCompanion(std::string aHost, Make aMake)
   {
     const auto self = shared_from_this();
-    const auto found = mSources.find(CompanionOf(aHost));
-    if (found == mSources.end() || !found->second->mChannel) {
+    const auto found = mLinks.find(CompanionOf(aHost));
+    if (found == mLinks.end() || !found->second->mChannel) {
       co_return std::nullopt;
     }
     const auto id = ++mLastRequestId;
@@ -205,24 +207,25 @@
     co_return reply == nullptr ? std::nullopt : std::optional(*reply);
   }
 
-  /// Sends a companion what needs no answer; dropped while it is not reached.
+  /// Sends a companion a message without a reply; dropped while it is
+  /// unreachable.
   void Send(const std::string& aHost, const protocol::Message& aMessage)
   {
-    const auto found = mSources.find(CompanionOf(aHost));
-    if (found != mSources.end() && found->second->mChannel) {
+    const auto found = mLinks.find(CompanionOf(aHost));
+    if (found != mLinks.end() && found->second->mChannel) {
       found->second->mChannel->Send(aMessage);
     }
   }
 
   /// The companion beside an engine; null when it is not followed.
-  Source* Find(const std::string& aEndpointAddress) const
+  CompanionLink* Find(const std::string& aEndpointAddress) const
   {
     const auto address = state::ParseAddress(aEndpointAddress);
     if (!address) {
       return nullptr;
     }
-    const auto found = mSources.find(CompanionOf(address->mHost));
-    return found == mSources.end() ? nullptr : found->second.get();
+    const auto found = mLinks.find(CompanionOf(address->mHost));
+    return found == mLinks.end() ? nullptr : found->second.get();
   }
 
   /// Address of the companion on a host.
@@ -235,37 +238,38 @@
   transport::ChannelIdentity mIdentity;
   std::uint16_t mPort;
   EventLog& mLog;
-  Handler mTake;
+  Handler mOnNews;
   PartReadingHandler mOnPartReading;
   CrashReportsHandler mOnCrashReports;
   RateNewsHandler mOnRateNews;
   ConnectionEndHandler mOnConnectionEnd;
   transport::ChannelCounters mCounters;
   state::RandomSource mRandom{ std::random_device{}() };
-  std::map<std::string, std::shared_ptr<Source>> mSources; ///< by address
+  std::map<std::string, std::shared_ptr<CompanionLink>> mLinks; ///< by address
   std::uint32_t mLastRequestId = 0;
   std::map<std::uint32_t, std::shared_ptr<PendingRequest>>
-    mPendingRequests; ///< by id
+    /// Requests that wait for a reply, by their id.
+    mPendingRequests;
 };
 
 EngineNewsClient::EngineNewsClient(asio::io_context& aContext,
                                    transport::ChannelIdentity aIdentity,
                                    std::uint16_t aPort,
                                    EventLog& aLog,
-                                   Handler aTake,
-                                   PartReadingHandler aTakePart,
-                                   CrashReportsHandler aTakeCrashes,
-                                   RateNewsHandler aTakeRate,
-                                   ConnectionEndHandler aTakeEnd)
+                                   Handler aOnNews,
+                                   PartReadingHandler aOnPartReading,
+                                   CrashReportsHandler aOnCrashReports,
+                                   RateNewsHandler aOnRateNews,
+                                   ConnectionEndHandler aOnConnectionEnd)
   : mShared(std::make_shared<Shared>(aContext,
                                      std::move(aIdentity),
                                      aPort,
                                      aLog,
-                                     std::move(aTake),
-                                     std::move(aTakePart),
-                                     std::move(aTakeCrashes),
-                                     std::move(aTakeRate),
-                                     std::move(aTakeEnd)))
+                                     std::move(aOnNews),
+                                     std::move(aOnPartReading),
+                                     std::move(aOnCrashReports),
+                                     std::move(aOnRateNews),
+                                     std::move(aOnConnectionEnd)))
 {
 }
 
@@ -285,14 +289,14 @@
     }
     const std::string companion = mShared->CompanionOf(address->mHost);
     wanted.insert(companion);
-    auto& source = mShared->mSources[companion];
-    if (!source) {
-      source = std::make_shared<Shared::Source>();
-      source->mAddress = companion;
-      transport::Spawn(mShared->mContext, mShared->Run(source));
+    auto& link = mShared->mLinks[companion];
+    if (!link) {
+      link = std::make_shared<Shared::CompanionLink>();
+      link->mAddress = companion;
+      transport::Spawn(mShared->mContext, mShared->Run(link));
     }
   }
-  std::erase_if(mShared->mSources, [&](const auto& aItem) {
+  std::erase_if(mShared->mLinks, [&](const auto& aItem) {
     const bool isGone = !wanted.contains(aItem.first);
     if (isGone) {
       aItem.second->mIsWanted = false;
@@ -308,9 +312,9 @@
 EngineNewsClient::SendPartReading(const std::string& aEndpointAddress,
                                   const protocol::PartReading& aReading)
 {
-  const auto* source = mShared->Find(aEndpointAddress);
-  if (source != nullptr && source->mChannel) {
-    source->mChannel->Send(aReading);
+  const auto* link = mShared->Find(aEndpointAddress);
+  if (link != nullptr && link->mChannel) {
+    link->mChannel->Send(aReading);
   }
 }
 
@@ -318,11 +322,10 @@
 EngineNewsClient::SendCrashReports(std::uint64_t aEndpoint,
                                    const protocol::CrashReports& aReports)
 {
-  std::vector<std::pair<std::uint64_t, Shared::Source*>> ranked;
-  for (const auto& [address, source] : mShared->mSources) {
-    if (source->mChannel) {
-      ranked.emplace_back(state::PlacementHash(address, aEndpoint),
-                          source.get());
+  std::vector<std::pair<std::uint64_t, Shared::CompanionLink*>> ranked;
+  for (const auto& [address, link] : mShared->mLinks) {
+    if (link->mChannel) {
+      ranked.emplace_back(state::PlacementHash(address, aEndpoint), link.get());
     }
   }
   const auto count = std::min(kCrashForwarders, ranked.size());
@@ -382,10 +385,10 @@
                              const state::WaitingTokens& aWaiting,
                              const std::string& aPart)
 {
-  auto* source = mShared->Find(aEndpointAddress);
-  if (source != nullptr) {
-    source->mWaiting = aWaiting;
-    Shared::ReportWaiting(*source, aPart);
+  auto* link = mShared->Find(aEndpointAddress);
+  if (link != nullptr) {
+    link->mWaiting = aWaiting;
+    Shared::ReportWaiting(*link, aPart);
   }
 }
 
--- a/packages/coordination/src/engine_news_server.cpp
+++ b/packages/coordination/src/engine_news_server.cpp
@@ -1,5 +1,5 @@
-// The companion's end of the news: tells its engine's state and parts to every
-// relay that connects.
+// The companion's side of the status updates: sends its engine's state and
+// parts to every relay that connects.
 
 #include "shuntjunction/coordination/engine_news.h"
 
@@ -25,30 +25,30 @@
 
 constexpr std::string_view kPart = "news";
 
-/// The state is told again after this, for relays to notice silence.
+/// The state is repeated after this time, so that relays notice silence.
 constexpr Millis kRepeatInterval{ 1000 };
 
-/// A queue that grew or shrank by so many requests is told at once.
+/// Change in the number of queued requests that is reported at once.
 constexpr std::uint32_t kMinQueueChange = 3;
 
-/// Waiting tokens that must have come or gone before relays are told: a tenth
-/// of a second of an engine's reading. All that wait there are told to every
-/// relay, so that less would cost more bytes than it tells.
+/// Change in waiting tokens that is reported to the relays: a tenth of a second
+/// of an engine's prefill. The total is sent to every relay, so a smaller step
+/// would cost more bytes than its information is worth.
 constexpr std::int64_t kMinTokenChange = 4000;
 
-/// Relays up to which that holds. Among more, each is told of proportionally
-/// larger changes, up to the most, a third of a second of reading: that is
-/// enough to pass an engine over, and a hundred relays would otherwise cost
-/// more bytes between zones than their callers' requests.
+/// Number of relays up to which that step holds. With more relays the step
+/// grows proportionally, up to the maximum: a third of a second of prefill,
+/// which is enough to pass an engine over. Without that, a hundred relays would
+/// cost more bytes between zones than their callers' requests.
 constexpr std::int64_t kRelaysAtMinChange = 25;
 constexpr std::int64_t kMaxTokenChange = 16000;
 
-/// Crashes of one moment go to the relays together: each of these sees some of
-/// the requests that ran there.
+/// Crashes of the same moment are sent to the relays together: each relay sees
+/// some of the requests that ran there.
 constexpr Millis kCrashBatchDelay{ 10 };
 
-/// Crashes that a relay is told when it connects: some 80 KB. Those of the
-/// requests with the most come first.
+/// Crashes that a relay is sent when it connects: about 80 KB. Those of the
+/// requests with the most crashes come first.
 constexpr std::size_t kMaxCrashesSent = 1024;
 
 EngineNews
@@ -66,7 +66,7 @@
 
 struct EngineNewsServer::Shared : std::enable_shared_from_this<Shared>
 {
-  /// What a holder keeps, in the life that it is in.
+  /// The parts that a holder caches in its current incarnation.
   struct HolderState
   {
     std::set<std::string> mParts;
@@ -87,10 +87,10 @@
   Task<void> Serve(std::shared_ptr<FrameChannel> aChannel)
   {
     const auto self = shared_from_this();
-    const auto proved = co_await aChannel->HandshakeAsAcceptor(mIdentity);
-    if (!proved) {
+    const auto handshake = co_await aChannel->HandshakeAsAcceptor(mIdentity);
+    if (!handshake) {
       mLog.Write(EventLine(kPart, "relay-refused")
-                   .Add("error", proved.error().Describe()));
+                   .Add("error", handshake.error().Describe()));
       co_return;
     }
     mChannels.emplace(aChannel, state::WaitingTokens());
@@ -102,14 +102,15 @@
       aChannel->Send(std::move(crashes));
     }
     PublishKnownRates(*aChannel);
-    co_await Hear(aChannel);
+    co_await ReceiveMessages(aChannel);
     aChannel->Close();
     mChannels.erase(aChannel);
     ReportWaiting();
   }
 
-  /// Takes what a relay tells, until it ends or says anything else.
-  Task<void> Hear(std::shared_ptr<FrameChannel> aChannel)
+  /// Handles a relay's messages until it disconnects or sends an unexpected
+  /// one.
+  Task<void> ReceiveMessages(std::shared_ptr<FrameChannel> aChannel)
   {
     while (true) {
       const auto message = co_await aChannel->Receive();
@@ -150,7 +151,7 @@
     }
   }
 
-  /// Takes what concerns the rate of an endpoint; whether a message did.
+  /// Handles a message about the rate of an endpoint; false for any other.
   bool HandleRateMessage(const protocol::Message& aMessage,
                          FrameChannel& aChannel)
   {
@@ -211,18 +212,18 @@
     }
   }
 
-  /// Remembers what a relay saw of crashes; what is news goes to all relays.
+  /// Remembers a relay's crash reports; those that are new go to all relays.
   void HandleCrashReports(const protocol::CrashReports& aReports)
   {
     const auto now = mClock.Now();
     const bool isFirst = mPendingReports.mWords.empty();
-    for (const auto& word : aReports.mWords) {
-      const auto& report = word.mReport.mReport;
-      const bool isNews = word.mIsCleared
+    for (const auto& update : aReports.mWords) {
+      const auto& report = update.mReport.mReport;
+      const bool isNews = update.mIsCleared
                             ? !mCrashes.Clear(report.mRequest).empty()
-                            : mCrashes.Note(report, now - word.mReport.mAge);
+                            : mCrashes.Note(report, now - update.mReport.mAge);
       if (isNews) {
-        mPendingReports.mWords.push_back(word);
+        mPendingReports.mWords.push_back(update);
       }
     }
     if (isFirst && !mPendingReports.mWords.empty()) {
@@ -240,7 +241,7 @@
     }
   }
 
-  /// What is remembered of crashes, for a relay that connects.
+  /// The remembered crashes, for a relay that connects.
   protocol::CrashReports KnownCrashes() const
   {
     protocol::CrashReports known;
@@ -273,7 +274,8 @@
     return all;
   }
 
-  /// Takes that relays want to hear of a part; tells it if it is kept.
+  /// Records that relays want to be informed of a part; reports it if it is
+  /// cached.
   void AddRequestedPart(const std::string& aPart)
   {
     if (aPart.empty() || !mRequestedParts.insert(aPart).second) {
@@ -284,16 +286,16 @@
       mRequestedParts.erase(mRequestOrder.front());
       mRequestOrder.pop_front();
     }
-    if (Of(PartHolder::kEngine).mParts.contains(aPart)) {
+    if (StateOf(PartHolder::kEngine).mParts.contains(aPart)) {
       SendParts(PartHolder::kEngine, { aPart }, {});
     }
   }
 
-  HolderState& Of(PartHolder aHolder)
+  HolderState& StateOf(PartHolder aHolder)
   {
     return mHolderStates[static_cast<std::size_t>(aHolder)];
   }
-  const HolderState& Of(PartHolder aHolder) const
+  const HolderState& StateOf(PartHolder aHolder) const
   {
     return mHolderStates[static_cast<std::size_t>(aHolder)];
   }
@@ -303,26 +305,29 @@
     return aHolder == PartHolder::kStore || mRequestedParts.contains(aPart);
   }
 
-  /// Tells of parts that came and went, of those that relays want to hear of.
+  /// Reports gained and lost parts, as far as relays want to be informed of
+  /// them.
   void SendParts(PartHolder aHolder,
                  const std::vector<std::string>& aGained,
                  const std::vector<std::string>& aLost)
   {
     auto news = NewsOfHolder(aHolder);
     news.mIsWhole = false;
-    const auto isTold = [&](const std::string& aPart) {
+    const auto shouldSend = [&](const std::string& aPart) {
       return ShouldSend(aHolder, aPart);
     };
+    std::copy_if(aGained.begin(),
+                 aGained.end(),
+                 std::back_inserter(news.mGained),
+                 shouldSend);
     std::copy_if(
-      aGained.begin(), aGained.end(), std::back_inserter(news.mGained), isTold);
-    std::copy_if(
-      aLost.begin(), aLost.end(), std::back_inserter(news.mLost), isTold);
+      aLost.begin(), aLost.end(), std::back_inserter(news.mLost), shouldSend);
     if (!news.mGained.empty() || !news.mLost.empty()) {
       Send(news);
     }
   }
 
-  /// Waiting tokens that must have come or gone before relays are told.
+  /// Change in waiting tokens that is reported to the relays.
   std::int64_t MinTokenChange() const
   {
     const auto relays = static_cast<std::int64_t>(mChannels.size());
@@ -331,7 +336,7 @@
                       kMaxTokenChange);
   }
 
-  /// Tells what waits, if that differs enough from what was told.
+  /// Reports what waits if it differs enough from the last report.
   void ReportWaiting()
   {
     if (std::abs(AllWaiting().Total() - mSentWaiting) >= MinTokenChange()) {
@@ -339,7 +344,7 @@
     }
   }
 
-  /// News as a relay gets them that has so much waiting itself.
+  /// The update for a relay that has aOwn waiting itself.
   EngineNews WithWaiting(EngineNews aNews, const state::WaitingTokens& aOwn)
   {
     aNews.mWaiting = AllWaiting();
@@ -348,7 +353,7 @@
     return aNews;
   }
 
-  Task<void> Repeat()
+  Task<void> RepeatState()
   {
     const auto self = shared_from_this();
     while (true) {
@@ -358,7 +363,7 @@
     }
   }
 
-  /// Of an engine its state; of the store only its address.
+  /// For an engine its state, for the store only its address.
   EngineNews NewsOfHolder(PartHolder aHolder) const
   {
     if (aHolder == PartHolder::kEngine) {
@@ -368,7 +373,8 @@
       }
       news.mRunning = mRunning;
       news.mQueued = mQueued;
-      news.mEndpointIncarnation = Of(aHolder).mEndpointIncarnation.Current();
+      news.mEndpointIncarnation =
+        StateOf(aHolder).mEndpointIncarnation.Current();
       return news;
     }
     EngineNews news;
@@ -379,7 +385,7 @@
   EngineNews WholeNews(PartHolder aHolder) const
   {
     auto news = NewsOfHolder(aHolder);
-    const auto& parts = Of(aHolder).mParts;
+    const auto& parts = StateOf(aHolder).mParts;
     std::copy_if(parts.begin(),
                  parts.end(),
                  std::back_inserter(news.mGained),
@@ -387,16 +393,16 @@
     return news;
   }
 
-  /// Forgets what a holder kept in its former life.
-  void BeginLife(PartHolder aHolder)
+  /// Forgets what a holder cached in its former incarnation.
+  void BeginIncarnation(PartHolder aHolder)
   {
-    auto& holding = Of(aHolder);
-    holding.mParts.clear();
+    auto& holder = StateOf(aHolder);
+    holder.mParts.clear();
     if (aHolder == PartHolder::kEngine) {
       mLog.Write(EventLine(kPart, "engine-restarted")
                    .Add("endpoint", mState.mEndpoint)
                    .Add("started_at",
-                        holding.mEndpointIncarnation.Current().StartedAt()));
+                        holder.mEndpointIncarnation.Current().StartedAt()));
     }
     Send(WholeNews(aHolder));
   }
@@ -432,14 +438,14 @@
   bool mIsDown = false;
   std::uint32_t mRunning = 0;
   std::uint32_t mQueued = 0;
-  std::string mStore;                       ///< address; empty: not told of
+  std::string mStore;                       ///< address; empty: not reported
   std::array<HolderState, 2> mHolderStates; ///< by PartHolder
-  std::set<std::string, std::less<>> mRequestedParts; ///< parts that are told
+  std::set<std::string, std::less<>> mRequestedParts; ///< that are reported
   std::deque<std::string> mRequestOrder; ///< the same, the oldest first
   std::int64_t mSentWaiting = 0;
   state::CrashTracker mCrashes{ state::CrashTrackerSettings{} };
-  protocol::CrashReports mPendingReports; ///< of crashes, to the relays
-  /// Relays, and what of them waits at the engine.
+  protocol::CrashReports mPendingReports; ///< of crashes, for the relays
+  /// Relays, with what each has waiting at the engine.
   std::map<std::shared_ptr<FrameChannel>, state::WaitingTokens> mChannels;
 };
 
@@ -476,7 +482,7 @@
         std::move(aSocket), "relay", shared->mCounters);
       transport::Spawn(shared->mContext, shared->Serve(peer));
     }));
-  transport::Spawn(mShared->mContext, mShared->Repeat());
+  transport::Spawn(mShared->mContext, mShared->RepeatState());
   return transport::LocalAddress(**acceptor);
 }
 
@@ -512,38 +518,40 @@
 {
   mShared->mRunning = aRunning;
   mShared->mQueued = aQueued;
-  const auto told = mShared->mSentQueued;
-  const auto change = std::max(aQueued, told) - std::min(aQueued, told);
+  const auto sent = mShared->mSentQueued;
+  const auto change = std::max(aQueued, sent) - std::min(aQueued, sent);
   if (change >= kMinQueueChange) {
     mShared->SendState();
   }
 }
 
 void
-EngineNewsServer::SetLife(state::EndpointIncarnation aLife)
+EngineNewsServer::SetLife(state::EndpointIncarnation aIncarnation)
 {
-  auto& life = mShared->Of(PartHolder::kEngine).mEndpointIncarnation;
-  if (life.TakeSelfReport(aLife) == state::IncarnationUpdate::kNewer) {
-    mShared->BeginLife(PartHolder::kEngine);
+  auto& incarnation =
+    mShared->StateOf(PartHolder::kEngine).mEndpointIncarnation;
+  if (incarnation.TakeSelfReport(aIncarnation) ==
+      state::IncarnationUpdate::kNewer) {
+    mShared->BeginIncarnation(PartHolder::kEngine);
   }
 }
 
 void
 EngineNewsServer::ChangeParts(PartHolder aHolder,
-                              state::EndpointIncarnation aLife,
+                              state::EndpointIncarnation aIncarnation,
                               const std::vector<std::string>& aGained,
                               const std::vector<std::string>& aLost)
 {
   const auto now = mShared->mClock.Now();
-  auto& holding = mShared->Of(aHolder);
-  const auto word = holding.mEndpointIncarnation.Take(aLife, now);
-  if (word == state::IncarnationUpdate::kFormer) {
+  auto& holder = mShared->StateOf(aHolder);
+  const auto update = holder.mEndpointIncarnation.Take(aIncarnation, now);
+  if (update == state::IncarnationUpdate::kFormer) {
     return;
   }
-  if (word == state::IncarnationUpdate::kNewer) {
-    mShared->BeginLife(aHolder);
+  if (update == state::IncarnationUpdate::kNewer) {
+    mShared->BeginIncarnation(aHolder);
   }
-  auto& parts = holding.mParts;
+  auto& parts = holder.mParts;
   parts.insert(aGained.begin(), aGained.end());
   for (const auto& part : aLost) {
     parts.erase(part);
@@ -554,7 +562,7 @@
 void
 EngineNewsServer::ClearParts(PartHolder aHolder)
 {
-  mShared->Of(aHolder).mParts.clear();
+  mShared->StateOf(aHolder).mParts.clear();
   mShared->Send(mShared->WholeNews(aHolder));
 }
 
--- a/packages/coordination/src/part_follower.cpp
+++ b/packages/coordination/src/part_follower.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Longest wait of one call: a source holds it no longer.
+/// Longest wait of one call; a source does not hold it any longer.
 constexpr Millis kWait{ 1000 };
 
-/// Between two calls, so that several changes come with each.
+/// Pause between two calls, so that each returns several changes.
 constexpr Millis kBatchPause{ 60 };
 
-/// After a failed call.
+/// Pause after a failed call.
 constexpr Millis kRetryPause{ 400 };
 
 } // namespace
@@ -24,12 +24,12 @@
 PartFollower::PartFollower(transport::asio::io_context& aContext,
                            EngineControl& aSource,
                            EventLog& aLog,
-                           Handler aTake,
+                           Handler aOnChanges,
                            std::function<void()> aOnClear)
   : mContext(aContext)
   , mSource(aSource)
   , mLog(aLog)
-  , mTake(std::move(aTake))
+  , mOnChanges(std::move(aOnChanges))
   , mOnClear(std::move(aOnClear))
 {
 }
@@ -57,20 +57,21 @@
     if (std::exchange(isLost, false)) {
       mLog.Write(EventLine("parts", "source-regained"));
     }
-    Take(*changes);
+    Deliver(*changes);
     co_await transport::Sleep(kBatchPause);
   }
 }
 
 void
-PartFollower::Take(const PartChanges& aChanges)
+PartFollower::Deliver(const PartChanges& aChanges)
 {
   if (aChanges.mEpoch != mEpoch) {
-    const bool isAskedFromBefore = mNext != 0;
+    const bool wasFollowingFormer = mNext != 0;
     mEpoch = aChanges.mEpoch;
     mOnClear();
-    if (isAskedFromBefore) {
-      // Asked from a position of its former life: all of this one is wanted.
+    if (wasFollowingFormer) {
+      // The request named a position of the former incarnation; request
+      // everything of this one.
       mNext = 0;
       return;
     }
@@ -79,7 +80,7 @@
     mLog.Write(EventLine("parts", "gap").Add("next", aChanges.mNext));
   }
   mNext = aChanges.mNext;
-  // Of several changes of one part the last counts.
+  // Only the last of several changes of a part counts.
   std::map<std::string, bool> last;
   for (const auto& change : aChanges.mChanges) {
     last[PartName(change.mSalt, change.mPart)] = change.mIsKept;
@@ -90,7 +91,7 @@
     (isKept ? gained : lost).push_back(name);
   }
   if (!gained.empty() || !lost.empty()) {
-    mTake(aChanges.mEndpointIncarnation, gained, lost);
+    mOnChanges(aChanges.mEndpointIncarnation, gained, lost);
   }
 }
 
--- a/packages/coordination/src/path_server.h
+++ b/packages/coordination/src/path_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Private to coordination: one path on a port of its own.
+// Private to coordination: serves one path on a port of its own.
 
 #include <functional>
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace shuntjunction::coordination {
 
-/// An answer of plain text.
+/// A plain-text response.
 transport::HttpResponse
 PlainAnswer(unsigned aStatus, std::string aText);
 
-/// Answers one path by a function, and any other by 404.
+/// Answers one path with the result of a function, and any other with 404.
 ///
 /// Thread safety: none; used on the thread of its server's context.
 class PathHandler final : public transport::HttpHandler
--- a/packages/coordination/src/relay.cpp
+++ b/packages/coordination/src/relay.cpp
@@ -18,28 +18,28 @@
 
 namespace {
 
-/// How often connections that rested too long are closed.
+/// Interval at which connections that were idle for too long are closed.
 constexpr Millis kStaleInterval{ 500 };
-/// How often requests are looked at that wait at stopped endpoints.
+/// Interval at which requests that wait at stopped endpoints are checked.
 constexpr Millis kStoppedInterval{ 100 };
-/// How often the use of endpoints' rates is logged.
+/// Interval at which the use of endpoints' rates is logged.
 constexpr Millis kRatesInterval{ 1000 };
-/// Connections that are taken in one turn, so that other work goes on.
+/// Connections accepted in one turn, so that other work goes on.
 constexpr int kMaxAcceptsPerTurn = 64;
-/// Files, the store, listening sockets, checks of the balancer, and processes
-/// that ask this one.
+/// For files, the store, listening sockets, checks of the load balancer, and
+/// processes that query this one.
 constexpr std::int64_t kReservedDescriptors = 300;
-/// Pause after a connection that could not be accepted.
+/// Pause after a connection could not be accepted.
 constexpr Millis kAcceptPause{ 50 };
 
 /// Serves a connection, or closes it unread while there is no room: its caller
-/// asks another relay at once, and would wait here in vain.
+/// then tries another relay at once instead of waiting here in vain.
 void
 BeginSession(const std::shared_ptr<Relay::Core>& aCore,
              asio::ip::tcp::socket aSocket)
 {
   if (aCore->IsFull()) {
-    aCore->mParts.mMetrics.Count(
+    aCore->mDependencies.mMetrics.Count(
       "shuntjunction_relay_connections_refused_total");
     boost::system::error_code ignored; // Nothing was read from it.
     aSocket.close(ignored);
@@ -48,17 +48,19 @@
   transport::SetSilenceLimits(aSocket, transport::SilenceLimits{});
   const auto session =
     std::make_shared<RelaySession>(aCore, std::move(aSocket));
-  transport::Spawn(aCore->mParts.mContext, session->Run());
+  transport::Spawn(aCore->mDependencies.mContext, session->Run());
 }
 
-/// Takes the connections that wait already: with one at a turn of all other
-/// work callers would lie unread in a burst, of which nothing else tells.
+/// Accepts the connections that are pending already. Accepting one per turn of
+/// all other work would leave callers unread in a burst, and nothing else would
+/// reveal it.
 void
 AcceptWaiting(const std::shared_ptr<Relay::Core>& aCore)
 {
   for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     boost::system::error_code error;
-    auto socket = aCore->mAcceptor->accept(aCore->mParts.mContext, error);
+    auto socket =
+      aCore->mAcceptor->accept(aCore->mDependencies.mContext, error);
     if (error) {
       return;
     }
@@ -81,12 +83,12 @@
   }
 }
 
-/// Looks all the time how late this process is.
+/// Continuously measures how late this process runs.
 Task<void>
 WatchForOverload(std::shared_ptr<Relay::Core> aCore)
 {
   auto& guard = aCore->mGuard;
-  const auto& clock = aCore->mParts.mClock;
+  const auto& clock = aCore->mDependencies.mClock;
   while (true) {
     const auto due = clock.Now() + guard.Settings().mCheckInterval;
     co_await transport::Sleep(guard.Settings().mCheckInterval);
@@ -94,16 +96,17 @@
     const auto late = std::chrono::duration_cast<Millis>(clock.Now() - due);
     guard.NoteTimerDelay(late);
     if (guard.IsOverloaded() != wasOverloaded) {
-      aCore->mParts.mLog.Write(EventLine(kRelayComponent, "overload")
-                                 .Add("is", guard.IsOverloaded())
-                                 .Add("late_ms", late.count())
-                                 .Add("active", aCore->mActive)
-                                 .Add("connections", aCore->mSessions.size()));
+      aCore->mDependencies.mLog.Write(
+        EventLine(kRelayComponent, "overload")
+          .Add("is", guard.IsOverloaded())
+          .Add("late_ms", late.count())
+          .Add("active", aCore->mActive)
+          .Add("connections", aCore->mSessions.size()));
     }
   }
 }
 
-/// Logs what became of requests for endpoints that name rates.
+/// Logs what became of requests for endpoints that advertise rates.
 Task<void>
 LogRates(std::shared_ptr<Relay::Core> aCore)
 {
@@ -123,7 +126,7 @@
 {
   while (true) {
     co_await transport::Sleep(kStoppedInterval);
-    aCore->mEndpoints.WakeRequestsAtStopped(aCore->mParts.mClock.Now());
+    aCore->mEndpoints.WakeRequestsAtStopped(aCore->mDependencies.mClock.Now());
   }
 }
 
@@ -132,21 +135,21 @@
 {
   while (true) {
     co_await transport::Sleep(kStaleInterval);
-    aCore->mEndpoints.CloseStale(aCore->mParts.mClock.Now());
+    aCore->mEndpoints.CloseStale(aCore->mDependencies.mClock.Now());
   }
 }
 
 } // namespace
 
-Relay::Core::Core(const RelayDependencies& aParts)
-  : mParts(aParts)
-  , mDescriptors({ mParts.mSettings.mDescriptors, kReservedDescriptors })
+Relay::Core::Core(const RelayDependencies& aDependencies)
+  : mDependencies(aDependencies)
+  , mDescriptors({ mDependencies.mSettings.mDescriptors, kReservedDescriptors })
   , mEndpoints(RelayEndpointSettings{})
-  , mCrashes(mParts)
-  , mShares(state::PlacementHash(mParts.mSettings.mName))
-  , mRates(mParts, mShares)
-  , mNotices(mParts)
-  , mLedger(mLimits.mMaxParts)
+  , mCrashes(mDependencies)
+  , mShares(state::PlacementHash(mDependencies.mSettings.mName))
+  , mRates(mDependencies, mShares)
+  , mNotices(mDependencies)
+  , mPartRecords(mLimits.mMaxParts)
   , mPrefillRate(mLimits.mFirstToken)
   , mRandom(std::random_device{}())
 {
@@ -155,8 +158,10 @@
 bool
 Relay::Core::AreKeysFresh() const
 {
-  const auto age = mParts.mConfigConfirmed.Age(mParts.mClock.Now());
-  return age < mParts.mSettings.mBounds.mKeyRemoval - mLimits.mFreshnessMargin;
+  const auto age =
+    mDependencies.mConfigConfirmed.Age(mDependencies.mClock.Now());
+  return age <
+         mDependencies.mSettings.mBounds.mKeyRemoval - mLimits.mFreshnessMargin;
 }
 
 void
@@ -177,19 +182,19 @@
 bool
 Relay::Core::IsFull() const
 {
-  const auto most = static_cast<std::size_t>(mParts.mSettings.mMemoryBytes /
-                                             mLimits.mBytesPerSession);
+  const auto limit = static_cast<std::size_t>(
+    mDependencies.mSettings.mMemoryBytes / mLimits.mBytesPerSession);
   const auto callers = static_cast<std::int64_t>(mSessions.size());
-  return mGuard.IsOverloaded() || mSessions.size() >= most ||
+  return mGuard.IsOverloaded() || mSessions.size() >= limit ||
          callers >= mDescriptors.MaxCallers();
 }
 
 bool
 Relay::Core::MakeRoomForEndpoint()
 {
-  const auto most = mDescriptors.MaxEndpointConnections(
+  const auto limit = mDescriptors.MaxEndpointConnections(
     static_cast<std::int64_t>(mSessions.size()));
-  while (mEndpoints.OpenConnections() >= most) {
+  while (mEndpoints.OpenConnections() >= limit) {
     if (!mEndpoints.CloseLongestIdle()) {
       return false;
     }
@@ -201,8 +206,8 @@
 Relay::Core::NoteCrashOfBrokenRequests(RelayEndpoint& aEndpoint)
 {
   for (const auto& broken : std::exchange(aEndpoint.mBrokenRequests, {})) {
-    if (mParts.mClock.Now() - broken.mAt < mLimits.mRestartDetection) {
-      mCrashes.Note(broken.mRequest, aEndpoint);
+    if (mDependencies.mClock.Now() - broken.mAt < mLimits.mRestartDetection) {
+      mCrashes.NoteCrash(broken.mRequest, aEndpoint);
     }
   }
 }
@@ -211,12 +216,12 @@
 Relay::Core::NoteRestart(RelayEndpoint& aEndpoint)
 {
   NoteCrashOfBrokenRequests(aEndpoint);
-  mLedger.ForgetPrefillsOf(aEndpoint.mInfo.mId);
-  if (mParts.mReportWaiting && !aEndpoint.mInfo.mModels.empty()) {
-    mParts.mReportWaiting(aEndpoint.mInfo.mAddress, {}, {});
+  mPartRecords.ForgetPrefillsOf(aEndpoint.mInfo.mId);
+  if (mDependencies.mReportWaiting && !aEndpoint.mInfo.mModels.empty()) {
+    mDependencies.mReportWaiting(aEndpoint.mInfo.mAddress, {}, {});
   }
-  mParts.mMetrics.Count("shuntjunction_relay_endpoint_restarts_total");
-  mParts.mLog.Write(
+  mDependencies.mMetrics.Count("shuntjunction_relay_endpoint_restarts_total");
+  mDependencies.mLog.Write(
     EventLine(kRelayComponent, "endpoint-restarted")
       .Add("endpoint", aEndpoint.mInfo.mId)
       .Add("started_at", aEndpoint.mEndpointIncarnation.Current().StartedAt())
@@ -226,17 +231,18 @@
 state::WindowBudget&
 Relay::Core::BudgetOf(const std::string& aService)
 {
-  const auto& settings = mParts.mSettings.mBounds.mRetries;
+  const auto& settings = mDependencies.mSettings.mBounds.mRetries;
   const double shares =
     mMaxRelays == 0 ? kAssumedRelays : kRelayShareDivisor * mMaxRelays;
   auto& budget =
-    mBudgets.try_emplace(aService, settings, mParts.mClock.Now()).first->second;
+    mBudgets.try_emplace(aService, settings, mDependencies.mClock.Now())
+      .first->second;
   budget.SetSlack(std::floor(settings.mSlack / shares));
   return budget;
 }
 
-Relay::Relay(const RelayDependencies& aParts)
-  : mCore(std::make_shared<Core>(aParts))
+Relay::Relay(const RelayDependencies& aDependencies)
+  : mCore(std::make_shared<Core>(aDependencies))
 {
 }
 
@@ -245,22 +251,23 @@
 state::Result<state::Address>
 Relay::Start()
 {
-  const auto address = state::ParseAddress(mCore->mParts.mSettings.mListen);
+  const auto address =
+    state::ParseAddress(mCore->mDependencies.mSettings.mListen);
   if (!address) {
     return tl::unexpected(address.error());
   }
-  auto acceptor = transport::Listen(mCore->mParts.mContext, *address);
+  auto acceptor = transport::Listen(mCore->mDependencies.mContext, *address);
   if (!acceptor) {
     return tl::unexpected(acceptor.error());
   }
   mCore->mAcceptor = *acceptor;
-  boost::system::error_code ignored; // It would take one at a time.
+  boost::system::error_code ignored; // It would then accept one at a time.
   mCore->mAcceptor->non_blocking(true, ignored);
-  transport::Spawn(mCore->mParts.mContext, Accept(mCore));
-  transport::Spawn(mCore->mParts.mContext, CloseStaleConnections(mCore));
-  transport::Spawn(mCore->mParts.mContext, WatchStoppedEndpoints(mCore));
-  transport::Spawn(mCore->mParts.mContext, LogRates(mCore));
-  transport::Spawn(mCore->mParts.mContext, WatchForOverload(mCore));
+  transport::Spawn(mCore->mDependencies.mContext, Accept(mCore));
+  transport::Spawn(mCore->mDependencies.mContext, CloseStaleConnections(mCore));
+  transport::Spawn(mCore->mDependencies.mContext, WatchStoppedEndpoints(mCore));
+  transport::Spawn(mCore->mDependencies.mContext, LogRates(mCore));
+  transport::Spawn(mCore->mDependencies.mContext, WatchForOverload(mCore));
   return transport::LocalAddress(*mCore->mAcceptor);
 }
 
@@ -272,13 +279,13 @@
   const auto companions = CompanionZones(mCore->mView->mEndpoints);
   mCore->mDescriptors.SetPeers(static_cast<std::int64_t>(companions.size()));
   mCore->mShares.SetHosts(companions);
-  const auto changes = mCore->mEndpoints.Update(mCore->mView->mEndpoints,
-                                                mCore->mParts.mClock.Now());
+  const auto changes = mCore->mEndpoints.Update(
+    mCore->mView->mEndpoints, mCore->mDependencies.mClock.Now());
   for (const auto& endpoint : changes.mRestarted) {
     mCore->NoteRestart(*endpoint);
   }
   for (const auto& endpoint : changes.mLeaving) {
-    mCore->mParts.mLog.Write(
+    mCore->mDependencies.mLog.Write(
       EventLine(kRelayComponent, "endpoint-leaving")
         .Add("endpoint", endpoint->mInfo.mId)
         .Add("listed", endpoint->mAvailability->IsListed())
@@ -292,7 +299,7 @@
 {
   mCore->UpdateRelayCount(aNews.mRelays);
   const auto restarted =
-    mCore->mEndpoints.ApplyNews(aNews, mCore->mParts.mClock.Now());
+    mCore->mEndpoints.ApplyNews(aNews, mCore->mDependencies.mClock.Now());
   if (restarted) {
     mCore->NoteRestart(*restarted);
   }
@@ -307,8 +314,8 @@
 void
 Relay::ApplyPartReading(const protocol::PartReading& aReading)
 {
-  const auto now = mCore->mParts.mClock.Now();
-  auto& record = mCore->mLedger.At(aReading.mPart);
+  const auto now = mCore->mDependencies.mClock.Now();
+  auto& record = mCore->mPartRecords.At(aReading.mPart);
   if (aReading.mIsDone) {
     record.mServedAt = now;
   } else if (now - record.mServedAt >= mCore->mLimits.mNewsDelay) {
@@ -320,13 +327,13 @@
 void
 Relay::ApplyCrashReports(const protocol::CrashReports& aReports)
 {
-  mCore->mCrashes.Take(aReports);
+  mCore->mCrashes.ApplyReports(aReports);
 }
 
 void
 Relay::ApplyRateNews(const state::RateNews& aNews)
 {
-  const auto endpoint = mCore->mEndpoints.FindLife(aNews.mEndpoint);
+  const auto endpoint = mCore->mEndpoints.FindIncarnation(aNews.mEndpoint);
   if (endpoint) {
     mCore->mRates.ApplyNews(*endpoint, aNews);
   }
@@ -336,10 +343,10 @@
 Relay::SetGauges()
 {
   mCore->mCrashes.SetGauges();
-  auto& metrics = mCore->mParts.mMetrics;
-  const auto now = mCore->mParts.mClock.Now();
-  const auto age = mCore->mParts.mConfigConfirmed.IsKnown()
-                     ? mCore->mParts.mConfigConfirmed.Age(now)
+  auto& metrics = mCore->mDependencies.mMetrics;
+  const auto now = mCore->mDependencies.mClock.Now();
+  const auto age = mCore->mDependencies.mConfigConfirmed.IsKnown()
+                     ? mCore->mDependencies.mConfigConfirmed.Age(now)
                      : Millis(-1);
   metrics.Set("shuntjunction_relay_ready", IsReady() ? 1 : 0);
   metrics.Set("shuntjunction_relay_active", static_cast<double>(Active()));
@@ -361,7 +368,7 @@
               static_cast<double>(mCore->mView->mConfig->Version()));
   metrics.Set("shuntjunction_relay_config_age_ms",
               static_cast<double>(age.count()));
-  const auto& list = mCore->mParts.mEndpointList;
+  const auto& list = mCore->mDependencies.mEndpointList;
   metrics.Set("shuntjunction_relay_list_age_ms",
               list.IsKnown() ? static_cast<double>(list.Age(now).count()) : -1);
   metrics.Set("shuntjunction_relay_list_revision",
--- a/packages/coordination/src/relay_answer.cpp
+++ b/packages/coordination/src/relay_answer.cpp
@@ -3,7 +3,7 @@
 
 #include "relay_attempt.h"
 
-// The part of a run that reads an endpoint's answer and passes it on.
+// The part of a run that reads an endpoint's answer and forwards it.
 
 namespace shuntjunction::coordination {
 
@@ -31,7 +31,7 @@
   return aStatus >= kFirst && aStatus <= kLast;
 }
 
-/// Statuses that promise a caller that its request was not run.
+/// Statuses that assure a caller that its request was not run.
 bool
 ImpliesNotRun(unsigned aStatus)
 {
@@ -45,14 +45,14 @@
   return aStatus == kNoContent || aStatus == kNotModified;
 }
 
-/// A piece of a body in chunked coding.
+/// A piece of a body in chunked transfer coding.
 std::string
-Chunk(std::string_view aPiece)
+Chunk(std::string_view aData)
 {
   std::array<char, 20> size{};
-  std::snprintf(size.data(), size.size(), "%zx\r\n", aPiece.size());
+  std::snprintf(size.data(), size.size(), "%zx\r\n", aData.size());
   std::string chunk = size.data();
-  chunk += aPiece;
+  chunk += aData;
   chunk += "\r\n";
   return chunk;
 }
@@ -84,8 +84,8 @@
     if (*step == ReadStep::kBad) {
       co_return AttemptOutcome::kBroken;
     }
-    if (const auto verdict = EvaluateHeadOnce(aAttempt, *step)) {
-      co_return *verdict;
+    if (const auto outcome = EvaluateHeadOnce(aAttempt, *step)) {
+      co_return *outcome;
     }
     aAttempt.mEndpointChoice.mEndpoint->mLastBytesAt = Now();
     const bool isDone = *step == ReadStep::kDone;
@@ -97,7 +97,7 @@
       continue;
     }
     if (isDone && !aAttempt.mIsStreamed && ShouldRetryFailure(aAttempt)) {
-      aAttempt.mHeld += aAttempt.mAnswer->TakeBody();
+      aAttempt.mBufferedBody += aAttempt.mAnswer->TakeBody();
       SaveFailure(aAttempt);
       Finish(aAttempt);
       co_return AttemptOutcome::kFailed;
@@ -125,7 +125,7 @@
     reader.Consume(consumed);
   }
   if (step == ReadStep::kNeedMore && consumed == 0) {
-    // What is buffered, if anything, is a piece that is not yet whole.
+    // Anything still buffered is an incomplete element.
     if (!reader.IsClosed()) {
       return std::nullopt;
     }
@@ -151,18 +151,18 @@
   }
   aAttempt.mIsHeadEvaluated = true;
   aAttempt.mAnswerInfo =
-    mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
+    mCore->mDependencies.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
   const auto& id = aAttempt.mAnswerInfo.mRequestId;
   aAttempt.mIsForeign = !id.empty() && id != mCall.mRequestId;
   ApplyNotice(aAttempt);
   if (aAttempt.mIsForeign) {
     return std::nullopt;
   }
-  const auto verdict = EvaluateHead(aAttempt);
-  if (verdict && isDone && *verdict != AttemptOutcome::kBroken) {
+  const auto outcome = EvaluateHead(aAttempt);
+  if (outcome && isDone && *outcome != AttemptOutcome::kBroken) {
     Finish(aAttempt);
   }
-  return verdict;
+  return outcome;
 }
 
 void
@@ -176,13 +176,13 @@
     return;
   }
   const auto status = aAttempt.mAnswer->Head().mStatus;
-  mCore->mNotices.Take(endpoint, facts.mNotice, mCall.mRequestId);
+  mCore->mNotices.Apply(endpoint, facts.mNotice, mCall.mRequestId);
   // The address may belong to another endpoint by now. Its rate does not apply
-  // here; a drain does no harm, since the endpoint that was meant has ended.
+  // here; a drain does no harm, since the addressed endpoint has ended.
   if (status != kMisdirected) {
-    const bool hasPlace = aAttempt.mPlace && !aAttempt.mIsForeign;
-    mCore->mRates.Note(
-      endpoint, facts.mNotice.mRate, hasPlace ? &*aAttempt.mPlace : nullptr);
+    const bool hasPermit = aAttempt.mPermit && !aAttempt.mIsForeign;
+    mCore->mRates.NoteRate(
+      endpoint, facts.mNotice.mRate, hasPermit ? &*aAttempt.mPermit : nullptr);
   }
   if (!aAttempt.mIsForeign) {
     SettleClearance(aAttempt, !facts.mIsNotRun && !ImpliesNotRun(status));
@@ -200,7 +200,7 @@
   const auto step = aAttempt.mAnswer->Put(reader.Buffered(), consumed);
   if (step == ReadStep::kHead || step == ReadStep::kDone) {
     aAttempt.mAnswerInfo =
-      mCore->mParts.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
+      mCore->mDependencies.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
     ApplyNotice(aAttempt);
   }
 }
@@ -208,7 +208,8 @@
 void
 RelayRun::SkipForeignAnswer(Attempt& aAttempt, bool aIsDone)
 {
-  // An answer to an earlier request came late: ours may follow it.
+  // This is a late answer to an earlier request; the one to this request may
+  // follow.
   aAttempt.mAnswer->TakeBody();
   if (!aIsDone) {
     return;
@@ -250,29 +251,29 @@
 void
 RelayRun::HandleAnswerBegun(const Attempt& aAttempt)
 {
-  const auto& pick = aAttempt.mEndpointChoice;
+  const auto& choice = aAttempt.mEndpointChoice;
   constexpr double kMillisPerSecond = 1000.0;
-  mCore->mParts.mMetrics.Observe(
+  mCore->mDependencies.mMetrics.Observe(
     RequestMetric::kFirstToken,
     mTeam != nullptr ? mTeam->mName : "",
     mRoute->mUrgency == 0 ? state::Priority::kUrgent
                           : state::Priority::kOrdinary,
     static_cast<double>(SinceArrival().count()) / kMillisPerSecond);
-  RemoveWaiting(pick);
-  if (pick.mWeights != 0) {
-    mCore->mPrefillRate.Note(pick.mWaitingTokens + pick.mPrefillTokens,
+  RemoveWaiting(choice);
+  if (choice.mWeights != 0) {
+    mCore->mPrefillRate.Note(choice.mWaitingTokens + choice.mPrefillTokens,
                              SinceArrival() - *mTimes.mSent);
   }
-  if (pick.mPart.empty() || !IsSuccess(aAttempt.mAnswer->Head().mStatus)) {
+  if (choice.mPart.empty() || !IsSuccess(aAttempt.mAnswer->Head().mStatus)) {
     return;
   }
-  auto& record = mCore->mLedger.At(pick.mPartName);
+  auto& record = mCore->mPartRecords.At(choice.mPartName);
   const bool isFirst = record.IsPrefilling();
   record.mServedAt = Now();
   if (isFirst) {
-    AnnouncePartReading(pick, true);
+    AnnouncePartReading(choice, true);
   }
-  if (!pick.mPartStore.empty()) {
+  if (!choice.mPartStore.empty()) {
     record.mSavedAt = Now();
   }
 }
@@ -301,9 +302,11 @@
   if (aAttempt.mIsStreamed) {
     co_return co_await ForwardStreamChunk(aAttempt, aIsDone);
   }
-  aAttempt.mHeld += aAttempt.mAnswer->TakeBody();
-  if (!aIsDone && aAttempt.mHeld.size() > mCore->mLimits.mMaxBufferedAnswer) {
-    // Too long to hold: from here on an end that is missing cuts the caller.
+  aAttempt.mBufferedBody += aAttempt.mAnswer->TakeBody();
+  if (!aIsDone &&
+      aAttempt.mBufferedBody.size() > mCore->mLimits.mMaxBufferedAnswer) {
+    // Too long to buffer: from here on, if the end is missing, the caller's
+    // connection is closed.
     aAttempt.mIsStreamed = true;
     co_return co_await ForwardStreamChunk(aAttempt, aIsDone);
   }
@@ -317,14 +320,14 @@
 RelayRun::BufferedAnswerText(const Attempt& aAttempt) const
 {
   const auto& head = aAttempt.mAnswer->Head();
-  std::optional<std::size_t> length = aAttempt.mHeld.size();
+  std::optional<std::size_t> length = aAttempt.mBufferedBody.size();
   if (mRequest->mMethod == "HEAD") {
     length =
       head.mLength ? std::optional<std::size_t>(*head.mLength) : std::nullopt;
   } else if (HasNoBody(head.mStatus)) {
     length = std::nullopt;
   }
-  return HeadText(head, length) + "\r\n" + aAttempt.mHeld;
+  return HeadText(head, length) + "\r\n" + aAttempt.mBufferedBody;
 }
 
 Task<bool>
@@ -344,7 +347,8 @@
   const bool mayTry =
     mSavedFailure.empty() &&
     static_cast<int>(mTriedEndpoints.size()) < mRoute->mMaxAttempts;
-  // As long again, and some: otherwise the failure itself would come late.
+  // The retry may take as long again, plus a margin; otherwise even the saved
+  // failure would reach the caller too late.
   const auto spent = SinceArrival();
   return isFailure && mayTry && Now() + 2 * spent < mDeadline;
 }
@@ -360,10 +364,10 @@
 Task<bool>
 RelayRun::ForwardStreamChunk(Attempt& aAttempt, bool aIsDone)
 {
-  std::string piece =
-    std::exchange(aAttempt.mHeld, {}) + aAttempt.mAnswer->TakeBody();
+  std::string body =
+    std::exchange(aAttempt.mBufferedBody, {}) + aAttempt.mAnswer->TakeBody();
   if (mRoute->mKind == RouteKind::kStream) {
-    piece = ExtractCompleteEvents(std::move(piece), aIsDone);
+    body = ExtractCompleteEvents(std::move(body), aIsDone);
   }
   std::string text;
   const bool isChunked = !mRequest->mIsHttp10;
@@ -371,7 +375,7 @@
     mIsHeadForwarded = true;
     mAnswerStatus = aAttempt.mAnswer->Head().mStatus;
     if (!isChunked) {
-      mIsKept = false;
+      mKeepsConnection = false;
     }
     text = HeadText(aAttempt.mAnswer->Head(), std::nullopt);
     if (isChunked) {
@@ -379,8 +383,8 @@
     }
     text += "\r\n";
   }
-  if (!piece.empty()) {
-    text += isChunked ? Chunk(piece) : piece;
+  if (!body.empty()) {
+    text += isChunked ? Chunk(body) : body;
   }
   if (aIsDone && isChunked) {
     text += kLastChunk;
--- a/packages/coordination/src/relay_attempt.cpp
+++ b/packages/coordination/src/relay_attempt.cpp
@@ -29,11 +29,11 @@
   if (!error) {
     aSending->mIsDone = true;
   }
-  // An endpoint that answers early may close its side: the answer counts, so
-  // only the reading decides.
+  // An endpoint that answers early may close its side. Its answer still counts,
+  // so only the reading side decides.
 }
 
-/// Whether a caller's header field goes on to an endpoint.
+/// Whether a caller's header field is forwarded to an endpoint.
 bool
 IsForwarded(const RelayCodec& aCodec,
             std::string_view aName,
@@ -48,7 +48,7 @@
          (!aIsResumed || !transport::IsSameName(aName, "Last-Event-Id"));
 }
 
-/// How an attempt ends that an obstacle stopped before the send.
+/// Outcome of an attempt that an obstacle stopped before the request was sent.
 AttemptOutcome
 OutcomeOf(state::Obstacle aObstacle)
 {
@@ -92,22 +92,23 @@
 } // namespace
 
 Task<AttemptOutcome>
-RelayRun::Try(EndpointChoice aPick)
+RelayRun::TryEndpoint(EndpointChoice aChoice)
 {
-  const auto endpoint = aPick.mEndpoint;
-  const int suspects = aPick.mIsCrashSuspect ? 1 : 0;
-  // Before it connects: those that broke off together choose together.
+  const auto endpoint = aChoice.mEndpoint;
+  const int suspects = aChoice.mIsCrashSuspect ? 1 : 0;
+  // Counted before it connects, since requests whose connections broke together
+  // choose their endpoints together.
   endpoint->mSuspectRequests += suspects;
-  const auto outcome = co_await RunAttempt(std::move(aPick));
+  const auto outcome = co_await RunAttempt(std::move(aChoice));
   endpoint->mSuspectRequests -= suspects;
   co_return outcome;
 }
 
 Task<AttemptOutcome>
-RelayRun::RunAttempt(EndpointChoice aPick)
+RelayRun::RunAttempt(EndpointChoice aChoice)
 {
   Attempt attempt;
-  attempt.mEndpointChoice = std::move(aPick);
+  attempt.mEndpointChoice = std::move(aChoice);
   mTimes = {};
   auto& endpoint = *attempt.mEndpointChoice.mEndpoint;
   const auto connected = co_await Connect(attempt);
@@ -131,10 +132,10 @@
   AddWaiting(attempt.mEndpointChoice);
   if (endpoint.mRate) {
     ++endpoint.mRate->mSent;
-    mCore->mParts.mMetrics.Count("shuntjunction_relay_limited_sends_total",
-                                 { { "service", mService } });
+    mCore->mDependencies.mMetrics.Count(
+      "shuntjunction_relay_limited_sends_total", { { "service", mService } });
   }
-  attempt.mPlace = std::exchange(mPlace, std::nullopt);
+  attempt.mPermit = std::exchange(mPermit, std::nullopt);
   mTriedEndpoints.push_back(endpoint.mInfo.mId);
   Send(attempt, std::move(*clearance));
   mTimes.mSent = SinceArrival();
@@ -149,7 +150,7 @@
   }
   mOpenConnection = nullptr;
   if (attempt.mConnection.mReader) {
-    // Not given back: whatever may still come belongs to nobody.
+    // Not returned to the pool: whatever may still come belongs to no request.
     attempt.mConnection.mReader->Close(true);
   }
   if (outcome == AttemptOutcome::kBroken ||
@@ -163,8 +164,8 @@
 tl::expected<state::SendClearance, AttemptOutcome>
 RelayRun::ClearToSend(const Attempt& aAttempt)
 {
-  // The wait for a part, a permit or a connection was long enough for the
-  // endpoint to become unavailable since it was chosen.
+  // While the request waited for a part, a permit or a connection, the chosen
+  // endpoint may have become unavailable.
   const auto& endpoint = aAttempt.mEndpointChoice.mEndpoint;
   const auto permit =
     endpoint->PermitNeedOf(IsUrgent(Urgency()), HasPermitFor(endpoint));
@@ -185,7 +186,7 @@
 void
 RelayRun::ReleaseUnused(Attempt& aAttempt)
 {
-  // Nothing was sent on the connection: it is as good as before.
+  // Nothing was sent on the connection, so it is still usable.
   mOpenConnection = nullptr;
   mCore->mEndpoints.PutIdle(*aAttempt.mEndpointChoice.mEndpoint,
                             std::move(aAttempt.mConnection),
@@ -205,15 +206,15 @@
 std::string_view
 RelayRun::ReasonToWithhold()
 {
-  // After a pause of the process the deadline's timer comes behind what woke
-  // it.
+  // After a pause of the process, whatever woke it runs before the deadline's
+  // timer.
   if (Now() >= mDeadline) {
     return "deadline";
   }
   if (AreKeysStale()) {
     return "stale-keys";
   }
-  // Only what is sent counts as a repeat.
+  // Only what is sent counts as a retry.
   if (!mTriedEndpoints.empty() && !mCore->BudgetOf(mService).TryRepeat(Now())) {
     return "retry-budget";
   }
@@ -224,10 +225,10 @@
 RelayRun::Connect(Attempt& aAttempt)
 {
   auto& endpoint = *aAttempt.mEndpointChoice.mEndpoint;
-  const auto maxRest = mRoute->IsRepeatable()
+  const auto maxIdle = mRoute->IsRepeatable()
                          ? mCore->mEndpoints.Settings().mIdleLimit
                          : mCore->mLimits.mOnceMaxIdle;
-  aAttempt.mConnection = mCore->mEndpoints.TakeIdle(endpoint, maxRest, Now());
+  aAttempt.mConnection = mCore->mEndpoints.TakeIdle(endpoint, maxIdle, Now());
   if (aAttempt.mConnection.mReader) {
     mOpenConnection = aAttempt.mConnection.mReader;
     co_return AttemptOutcome::kDone;
@@ -258,7 +259,8 @@
     std::move(*socket), mCore->mLimits.mReadAhead);
   aAttempt.mConnection.mReader->KeepWhileOpen(std::move(count));
   aAttempt.mConnection.mReader->Start();
-  mCore->mParts.mMetrics.Count("shuntjunction_relay_connections_opened_total");
+  mCore->mDependencies.mMetrics.Count(
+    "shuntjunction_relay_connections_opened_total");
   mOpenConnection = aAttempt.mConnection.mReader;
   if (mInterrupt != RunInterrupt::kNone) {
     aAttempt.mConnection.mReader->Close(true);
@@ -276,69 +278,70 @@
   aAttempt.mOutgoing->mRequest = mRequest;
   aAttempt.mOutgoing->mHead =
     RequestHead(*mRequest,
-                mCore->mParts.mCodec,
+                mCore->mDependencies.mCodec,
                 MakeForwardingInfo(aAttempt.mEndpointChoice));
   NotePartPrefill(aAttempt.mEndpointChoice);
   transport::Spawn(
-    mCore->mParts.mContext,
+    mCore->mDependencies.mContext,
     WriteRequest(aAttempt.mConnection.mReader, aAttempt.mOutgoing));
 }
 
 ForwardingInfo
-RelayRun::MakeForwardingInfo(const EndpointChoice& aPick) const
+RelayRun::MakeForwardingInfo(const EndpointChoice& aChoice) const
 {
   ForwardingInfo handOver;
   handOver.mTimeLeft = std::chrono::duration_cast<Millis>(mDeadline - Now());
-  handOver.mEndpointId = aPick.mEndpoint->mInfo.mId;
+  handOver.mEndpointId = aChoice.mEndpoint->mInfo.mId;
   handOver.mResumeAfter = mLastEventId;
   if (mTeam != nullptr) {
     handOver.mTeam = mTeam->mName;
   }
-  if (aPick.mWeights != 0) {
-    handOver.mUrgency = aPick.mUrgency;
-    handOver.mWeights = aPick.mWeights;
-    handOver.mSalt = aPick.mSalt;
-    handOver.mPartSource = aPick.mPartSource;
-    handOver.mPartStore = aPick.mPartStore;
+  if (aChoice.mWeights != 0) {
+    handOver.mUrgency = aChoice.mUrgency;
+    handOver.mWeights = aChoice.mWeights;
+    handOver.mSalt = aChoice.mSalt;
+    handOver.mPartSource = aChoice.mPartSource;
+    handOver.mPartStore = aChoice.mPartStore;
   }
   return handOver;
 }
 
 void
-RelayRun::NotePartPrefill(const EndpointChoice& aPick)
+RelayRun::NotePartPrefill(const EndpointChoice& aChoice)
 {
-  if (aPick.mPart.empty()) {
+  if (aChoice.mPart.empty()) {
     return;
   }
-  auto& record = mCore->mLedger.At(aPick.mPartName);
-  const bool isKept = mCore->mEndpoints.Parts().HasHolder(aPick.mPartName);
+  auto& record = mCore->mPartRecords.At(aChoice.mPartName);
+  const bool isCached = mCore->mEndpoints.Parts().HasHolder(aChoice.mPartName);
   const bool isNewsDue = Now() - record.mServedAt < mCore->mLimits.mNewsDelay;
-  if (isKept || isNewsDue) {
+  if (isCached || isNewsDue) {
     return;
   }
   record.mPrefillStartedAt = Now();
-  record.mPrefillEndpoint = aPick.mEndpoint->mInfo.mId;
-  AnnouncePartReading(aPick, false);
+  record.mPrefillEndpoint = aChoice.mEndpoint->mInfo.mId;
+  AnnouncePartReading(aChoice, false);
 }
 
 void
-RelayRun::AddWaiting(const EndpointChoice& aPick)
+RelayRun::AddWaiting(const EndpointChoice& aChoice)
 {
-  auto& endpoint = *aPick.mEndpoint;
-  endpoint.mWaiting.Add(aPick.mUrgency, aPick.mPrefillTokens);
-  if (aPick.mIsDeprioritized) {
-    endpoint.mLate.Add(aPick.mSentAt);
+  auto& endpoint = *aChoice.mEndpoint;
+  endpoint.mWaiting.Add(aChoice.mUrgency, aChoice.mPrefillTokens);
+  if (aChoice.mIsDeprioritized) {
+    endpoint.mLate.Add(aChoice.mSentAt);
   }
-  ReportWaiting(endpoint, aPick.mIsKept ? std::string() : aPick.mPartName);
+  ReportWaiting(endpoint,
+                aChoice.mIsPartCached ? std::string() : aChoice.mPartName);
 }
 
 void
-RelayRun::RemoveWaiting(const EndpointChoice& aPick)
+RelayRun::RemoveWaiting(const EndpointChoice& aChoice)
 {
-  auto& endpoint = *aPick.mEndpoint;
-  endpoint.mWaiting.Remove(aPick.mUrgency, aPick.mPrefillTokens);
-  if (aPick.mIsDeprioritized) {
-    endpoint.mLate.Remove(aPick.mSentAt);
+  auto& endpoint = *aChoice.mEndpoint;
+  endpoint.mWaiting.Remove(aChoice.mUrgency, aChoice.mPrefillTokens);
+  if (aChoice.mIsDeprioritized) {
+    endpoint.mLate.Remove(aChoice.mSentAt);
   }
   ReportWaiting(endpoint, {});
 }
@@ -347,21 +350,21 @@
 RelayRun::ReportWaiting(const RelayEndpoint& aEndpoint,
                         const std::string& aPart)
 {
-  const auto& tell = mCore->mParts.mReportWaiting;
-  // Of a former life nothing is told any more.
-  if (tell && aEndpoint.mAvailability->IsListed() &&
+  const auto& report = mCore->mDependencies.mReportWaiting;
+  // Nothing is reported for a former incarnation.
+  if (report && aEndpoint.mAvailability->IsListed() &&
       !aEndpoint.mInfo.mModels.empty()) {
-    tell(aEndpoint.mInfo.mAddress, aEndpoint.mWaiting, aPart);
+    report(aEndpoint.mInfo.mAddress, aEndpoint.mWaiting, aPart);
   }
 }
 
 void
-RelayRun::AnnouncePartReading(const EndpointChoice& aPick, bool aIsDone)
+RelayRun::AnnouncePartReading(const EndpointChoice& aChoice, bool aIsDone)
 {
-  const auto& tell = mCore->mParts.mSendPartReading;
-  if (tell) {
-    const auto& endpoint = aPick.mEndpoint->mInfo;
-    tell(endpoint.mAddress, { aPick.mPartName, aIsDone, endpoint.mId });
+  const auto& report = mCore->mDependencies.mSendPartReading;
+  if (report) {
+    const auto& endpoint = aChoice.mEndpoint->mInfo;
+    report(endpoint.mAddress, { aChoice.mPartName, aIsDone, endpoint.mId });
   }
 }
 
--- a/packages/coordination/src/relay_attempt.h
+++ b/packages/coordination/src/relay_attempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Private to coordination: what one attempt of a request keeps.
+// Private to coordination: the state of one attempt of a request.
 
 #include <memory>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace shuntjunction::coordination {
 
-/// Bytes of a request on their way to an endpoint.
+/// A request that is being written to an endpoint.
 struct OutgoingRequest
 {
   std::string mHead;
@@ -25,14 +25,15 @@
   std::shared_ptr<OutgoingRequest> mOutgoing;
   std::unique_ptr<transport::RelayAnswerReader> mAnswer;
   AnswerInfo mAnswerInfo;
-  std::optional<HeldPermit> mPlace; ///< that it used
-  /// While the endpoint has not answered.
+  std::optional<HeldPermit> mPermit; ///< the permit that it used
+  /// Set while the endpoint has not answered.
   std::optional<state::SendClearance> mClearance;
   bool mIsHeadEvaluated = false;
-  bool mIsForeign = false;        ///< the answer is to another request
-  std::string mHeld;              ///< body that waits until the answer is whole
+  bool mIsForeign = false; ///< the answer belongs to another request
+  /// Body that is buffered until the answer is complete.
+  std::string mBufferedBody;
   bool mIsForeignSkipped = false; ///< an answer to another request came first
-  bool mIsStreamed = false;       ///< passed on as it comes
+  bool mIsStreamed = false;       ///< forwarded as it arrives
   bool mHasBegun = false;
 };
 
--- a/packages/coordination/src/relay_core.h
+++ b/packages/coordination/src/relay_core.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Private to coordination: what a relay, its sessions and runs share.
+// Private to coordination: the state that a relay shares with its sessions and
+// runs.
 
 #include <set>
 
@@ -22,46 +23,48 @@
 
 class RelaySession;
 
-/// Names a relay in log lines.
+/// Component name of a relay in log lines.
 inline constexpr std::string_view kRelayComponent = "relay";
 
-/// Times and sizes of a relay that are no settings of its operators.
+/// Times and sizes of a relay that its operators can't set.
 struct RelayLimits
 {
   /// Margin by which a confirmation of the keys must be younger than allowed:
-  /// covers the way of a hand-over to an endpoint.
+  /// covers the time in which a request reaches its endpoint.
   state::Millis mFreshnessMargin{ 300 };
-  /// A connection that rested longer is not used for a request that may run
-  /// only once: its endpoint may close it at that moment.
+  /// A connection that was idle for longer is not used for a request that may
+  /// run only once: its endpoint may close it at that moment.
   state::Millis mOnceMaxIdle{ 1000 };
-  /// A process that just started has its configuration within this.
+  /// Time within which a process that just started has its configuration.
   state::Millis mConfigWait{ 120 };
   /// Share of the latency objective for which a request may wait for an
-  /// endpoint to open; callers can still come back in time then.
+  /// endpoint to become available; a caller can still retry in time after it.
   double mWaitShare = 0.2;
-  /// Answers up to this size are read whole before any of it is passed on.
+  /// Answers up to this size are read completely before any of it is forwarded.
   std::size_t mMaxBufferedAnswer = 64UL * 1024;
   /// Bytes read ahead on a connection.
   std::size_t mReadAhead = 64UL * 1024;
-  /// Share of the process's memory for bodies of requests.
+  /// Share of the process's memory for request bodies.
   double mBodyShare = 0.3;
-  /// Memory that an open connection of a caller may need, with its request
-  /// under way and the connection to its endpoint.
+  /// Memory that an open connection of a caller may need, including its current
+  /// request and the connection to its endpoint.
   std::int64_t mBytesPerSession = 64L * 1024;
-  /// Parts of prompts that are remembered.
+  /// Maximum number of prompt parts that are remembered.
   std::size_t mMaxParts = 4096;
-  /// News of a part comes so long after it was read at the latest.
+  /// Longest time after which companions report a part that was prefilled.
   state::Millis mNewsDelay{ 1000 };
-  /// Longest wait behind another request that reads the same part.
+  /// Longest wait for another request that prefills the same part.
   state::Millis mPartWait{ 350 };
-  /// Within this of the bound, older weights get no request.
+  /// Margin before the operator's bound within which older weights get no
+  /// requests.
   state::Millis mWeightsMargin{ 1500 };
-  /// An engine that did not load its weights so long after its turn is used
-  /// again meanwhile.
+  /// Time after an engine's turn to load its weights after which it is used
+  /// again if it still has not loaded them.
   state::Millis mLoadTimeout{ 2500 };
-  /// A restart is heard of within this, by the list or by its companion.
+  /// Time within which a restart becomes known, from the list or from the
+  /// companion.
   state::Millis mRestartDetection{ 10000 };
-  /// Requests that broke off at one endpoint that are remembered for it.
+  /// Maximum number of broken requests that are remembered for one endpoint.
   std::size_t mMaxBrokenRequests = 64;
   state::FirstTokenSettings mFirstToken;
 };
@@ -69,46 +72,47 @@
 /// A relay's state.
 struct Relay::Core
 {
-  /// Relays among which the slack of repeats is divided before any companion
-  /// told how many there are: in the first moments of a relay's life.
+  /// Number of relays among which the slack of retries is divided until a
+  /// companion reported how many there are, just after the start of a relay.
   static constexpr double kAssumedRelays = 32;
-  /// Of what companions tell: one may not reach all relays, and a relay that is
-  /// restarted begins its share anew.
+  /// Factor on the number that companions report: one may not reach all relays,
+  /// and a relay that restarts begins its share anew.
   static constexpr double kRelayShareDivisor = 2;
 
-  explicit Core(const RelayDependencies& aParts);
+  explicit Core(const RelayDependencies& aDependencies);
 
-  /// Whether a key may still be taken as valid.
+  /// Whether keys may still be accepted as valid.
   bool AreKeysFresh() const;
 
   /// Closes connections on which no request has begun.
   void CloseIdleSessions();
 
-  /// Takes how many relays a companion tells; fewer than before change nothing.
+  /// Applies the number of relays that a companion reports; a smaller one than
+  /// before changes nothing.
   void UpdateRelayCount(std::uint32_t aRelays);
 
-  /// Takes that an endpoint is in another life: what was read, or waited, there
-  /// before counts no more.
+  /// Handles the restart of an endpoint: what was prefilled or queued there
+  /// before no longer counts.
   void NoteRestart(RelayEndpoint& aEndpoint);
 
-  /// Takes that an endpoint crashed under the requests that broke off there
-  /// lately.
+  /// Records that an endpoint crashed under the requests whose connections to
+  /// it broke recently.
   void NoteCrashOfBrokenRequests(RelayEndpoint& aEndpoint);
 
-  /// Whether no more callers' connections can be taken now.
+  /// Whether no more connections of callers can be accepted now.
   bool IsFull() const;
 
-  /// Makes room for one more connection to an endpoint, by giving up the one
-  /// that has rested the longest if need be; whether there is room.
+  /// Makes room for one more connection to an endpoint, if need be by closing
+  /// the one that was idle the longest; returns whether there is room.
   bool MakeRoomForEndpoint();
 
-  /// Relays, as far as companions told; one at least.
+  /// Number of relays as far as companions reported it; at least one.
   double Relays() const { return std::max<double>(mMaxRelays, 1.0); }
 
-  /// The budget of a service's repeats, with this relay's share of the slack.
+  /// The retry budget of a service, with this relay's share of the slack.
   state::WindowBudget& BudgetOf(const std::string& aService);
 
-  RelayDependencies mParts;
+  RelayDependencies mDependencies;
   RelayLimits mLimits;
   state::DescriptorBudget mDescriptors;
   RelayEndpoints mEndpoints;
@@ -116,17 +120,17 @@
   state::ShareDirectory mShares;
   RelayRates mRates;
   RelayNotices mNotices;
-  state::PartRecordTable mLedger;
+  state::PartRecordTable mPartRecords;
   state::PrefillRate mPrefillRate;
   state::OverloadGuard mGuard;
   std::map<std::string, state::WindowBudget> mBudgets; ///< by service
-  std::uint32_t mMaxRelays = 0; ///< that a companion told; 0: none did
+  std::uint32_t mMaxRelays = 0; ///< most that a companion reported; 0: none did
   std::shared_ptr<const RelayView> mView = std::make_shared<RelayView>();
   state::RandomSource mRandom;
   std::shared_ptr<transport::asio::ip::tcp::acceptor> mAcceptor;
   std::set<RelaySession*> mSessions;
   std::size_t mActive = 0;    ///< requests that are being served
-  std::size_t mBodyBytes = 0; ///< of the bodies of these
+  std::size_t mBodyBytes = 0; ///< size of the bodies of these requests
   bool mIsStopping = false;   ///< unready, still serving
   bool mIsRefusing = false;   ///< new requests are refused
 };
--- a/packages/coordination/src/relay_crashes.cpp
+++ b/packages/coordination/src/relay_crashes.cpp
@@ -14,28 +14,28 @@
 
 namespace {
 
-/// Crashes of one moment are told together: an endpoint that crashes cuts some
-/// ten requests off within a few milliseconds.
+/// Crashes of the same moment are reported together: an endpoint that crashes
+/// breaks about ten requests within a few milliseconds.
 constexpr Millis kReportBatchDelay{ 10 };
 
-/// A machine in reach refuses a connection within some milliseconds; one that
-/// says nothing for longer did not crash as far as can be told.
+/// A reachable machine refuses a connection within a few milliseconds; one that
+/// is silent for longer is not taken to have crashed.
 constexpr Millis kCheckTimeout{ 100 };
 
-/// What was found holds for all that broke off in this time.
+/// Time for which the result holds for all requests that break meanwhile.
 constexpr Millis kCheckValidity{ 100 };
 
 constexpr Millis kCheckPollInterval{ 5 };
 
-/// A process that crashes closes all it has within this, also on a machine with
-/// much else to do; nobody waits for it.
+/// A process that crashes has closed all its sockets within this time, even on
+/// a busy machine; no request waits for it.
 constexpr Millis kRecheckDelay{ 250 };
 
 } // namespace
 
-RelayCrashes::RelayCrashes(const RelayDependencies& aParts)
-  : mParts(aParts)
-  , mLedger(state::CrashTrackerSettings{})
+RelayCrashes::RelayCrashes(const RelayDependencies& aDependencies)
+  : mDependencies(aDependencies)
+  , mTracker(state::CrashTrackerSettings{})
 {
 }
 
@@ -46,25 +46,25 @@
 }
 
 void
-RelayCrashes::Note(const RequestDigest& aRequest,
-                   const RelayEndpoint& aEndpoint)
+RelayCrashes::NoteCrash(const RequestDigest& aRequest,
+                        const RelayEndpoint& aEndpoint)
 {
   const CrashReport report{ aRequest, aEndpoint.mNameHash };
   const bool wasFree = QuarantineLeft(aRequest) == Millis(0);
-  if (!mLedger.Note(report, Now())) {
+  if (!mTracker.Note(report, Now())) {
     return;
   }
-  if (mSeen.size() >= mLedger.Settings().mMaxRequests) {
-    mSeen.clear();
+  if (mOwnCrashes.size() >= mTracker.Settings().mMaxRequests) {
+    mOwnCrashes.clear();
   }
-  mSeen.insert(aRequest);
-  mParts.mLog.Write(EventLine(kRelayComponent, "endpoint-crashed")
-                      .Add("endpoint", aEndpoint.mInfo.mId)
-                      .Add("content", aRequest.Text())
-                      .Add("crashes", Crashes(aRequest)));
-  mParts.mMetrics.Count("shuntjunction_relay_crash_reports_total",
-                        { { "service", aEndpoint.mInfo.mService } });
-  Tell(report, false);
+  mOwnCrashes.insert(aRequest);
+  mDependencies.mLog.Write(EventLine(kRelayComponent, "endpoint-crashed")
+                             .Add("endpoint", aEndpoint.mInfo.mId)
+                             .Add("content", aRequest.Text())
+                             .Add("crashes", Crashes(aRequest)));
+  mDependencies.mMetrics.Count("shuntjunction_relay_crash_reports_total",
+                               { { "service", aEndpoint.mInfo.mService } });
+  QueueReport(report, false);
   if (wasFree && QuarantineLeft(aRequest) > Millis(0)) {
     BeginQuarantine(aRequest, "own");
   }
@@ -73,24 +73,24 @@
 void
 RelayCrashes::NoteCompleted(const RequestDigest& aRequest)
 {
-  mSeen.erase(aRequest);
-  for (const auto& report : mLedger.Clear(aRequest)) {
-    Tell(report, true);
+  mOwnCrashes.erase(aRequest);
+  for (const auto& report : mTracker.Clear(aRequest)) {
+    QueueReport(report, true);
   }
 }
 
 void
-RelayCrashes::Take(const protocol::CrashReports& aReports)
+RelayCrashes::ApplyReports(const protocol::CrashReports& aReports)
 {
   for (const auto& word : aReports.mWords) {
     const auto& report = word.mReport.mReport;
     if (word.mIsCleared) {
-      mSeen.erase(report.mRequest);
-      mLedger.Clear(report.mRequest);
+      mOwnCrashes.erase(report.mRequest);
+      mTracker.Clear(report.mRequest);
       continue;
     }
     const bool wasFree = QuarantineLeft(report.mRequest) == Millis(0);
-    mLedger.Note(report, Now() - word.mReport.mAge);
+    mTracker.Note(report, Now() - word.mReport.mAge);
     if (wasFree && QuarantineLeft(report.mRequest) > Millis(0)) {
       BeginQuarantine(report.mRequest, "relays");
     }
@@ -100,44 +100,44 @@
 void
 RelayCrashes::ApplyQuarantined(const QuarantinedRequests& aQuarantined)
 {
-  const auto wall = mParts.mClock.WallMillis();
-  for (const auto& [request, kept] : aQuarantined) {
-    const bool isKnown = mStored.contains(request);
-    const Millis left{ kept.mUntilMillis - wall };
+  const auto wall = mDependencies.mClock.WallMillis();
+  for (const auto& [request, entry] : aQuarantined) {
+    const bool isKnown = mStoredQuarantines.contains(request);
+    const Millis left{ entry.mUntilMillis - wall };
     if (!isKnown && left > Millis(0) &&
-        mLedger.Quarantine(request, Now(), left)) {
+        mTracker.Quarantine(request, Now(), left)) {
       BeginQuarantine(request, "store");
     }
   }
-  for (const auto& [request, kept] : mStored) {
+  for (const auto& [request, entry] : mStoredQuarantines) {
     if (!aQuarantined.contains(request)) {
-      mParts.mLog.Write(
+      mDependencies.mLog.Write(
         EventLine(kRelayComponent, "released").Add("content", request.Text()));
       NoteCompleted(request);
     }
   }
-  mStored = aQuarantined;
+  mStoredQuarantines = aQuarantined;
 }
 
 Millis
 RelayCrashes::QuarantineLeft(const RequestDigest& aRequest) const
 {
-  return mLedger.QuarantineLeft(aRequest, Now());
+  return mTracker.QuarantineLeft(aRequest, Now());
 }
 
 int
 RelayCrashes::Crashes(const RequestDigest& aRequest) const
 {
-  return mLedger.Crashes(aRequest, Now());
+  return mTracker.Crashes(aRequest, Now());
 }
 
 void
 RelayCrashes::SetGauges()
 {
-  mParts.mMetrics.Set("shuntjunction_relay_crash_suspects",
-                      static_cast<double>(mLedger.Suspects()));
-  mParts.mMetrics.Set("shuntjunction_relay_quarantined",
-                      static_cast<double>(mLedger.Quarantined(Now())));
+  mDependencies.mMetrics.Set("shuntjunction_relay_crash_suspects",
+                             static_cast<double>(mTracker.Suspects()));
+  mDependencies.mMetrics.Set("shuntjunction_relay_quarantined",
+                             static_cast<double>(mTracker.Quarantined(Now())));
 }
 
 void
@@ -145,14 +145,14 @@
                               std::string_view aSource)
 {
   const auto left = QuarantineLeft(aRequest);
-  mParts.mLog.Write(EventLine(kRelayComponent, "quarantined")
-                      .Add("content", aRequest.Text())
-                      .Add("source", aSource)
-                      .Add("crashes", Crashes(aRequest))
-                      .Add("left_ms", left.count()));
-  // Those that saw a crash keep it, three at the most: not every relay.
-  if (mSeen.erase(aRequest) != 0 && mParts.mStoreQuarantine) {
-    mParts.mStoreQuarantine(aRequest, left);
+  mDependencies.mLog.Write(EventLine(kRelayComponent, "quarantined")
+                             .Add("content", aRequest.Text())
+                             .Add("source", aSource)
+                             .Add("crashes", Crashes(aRequest))
+                             .Add("left_ms", left.count()));
+  // Only relays that saw a crash record it, three at most, not every relay.
+  if (mOwnCrashes.erase(aRequest) != 0 && mDependencies.mStoreQuarantine) {
+    mDependencies.mStoreQuarantine(aRequest, left);
   }
   const auto [first, last] = mRunning.equal_range(aRequest);
   for (auto running = first; running != last; ++running) {
@@ -161,16 +161,16 @@
 }
 
 void
-RelayCrashes::Tell(const CrashReport& aReport, bool aIsCleared)
+RelayCrashes::QueueReport(const CrashReport& aReport, bool aIsCleared)
 {
-  if (!mParts.mSendCrashReports) {
+  if (!mDependencies.mSendCrashReports) {
     return;
   }
   const bool isFirst = mPendingReports.empty();
   mPendingReports[aReport.mEndpoint].mWords.push_back(
     { { aReport, Millis(0) }, aIsCleared });
   if (isFirst) {
-    transport::Spawn(mParts.mContext, FlushSoon());
+    transport::Spawn(mDependencies.mContext, FlushSoon());
   }
 }
 
@@ -179,16 +179,16 @@
 {
   co_await transport::Sleep(kReportBatchDelay);
   for (const auto& [endpoint, reports] : std::exchange(mPendingReports, {})) {
-    mParts.mSendCrashReports(endpoint, reports);
+    mDependencies.mSendCrashReports(endpoint, reports);
   }
 }
 
 namespace {
 
-/// Asks whether anything listens at an endpoint's address; the connection, if
-/// so. Notes a crash if not.
+/// Checks whether anything listens at an endpoint's address; returns the
+/// connection if so, and notes a crash if not.
 Task<std::shared_ptr<transport::SocketReader>>
-Check(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint)
+ProbeEndpoint(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint)
 {
   const auto address = state::ParseAddress(aEndpoint->mInfo.mAddress);
   const auto target =
@@ -196,10 +196,10 @@
   if (!target) {
     co_return nullptr;
   }
-  aEndpoint->mIsBeingChecked = true;
+  aEndpoint->mIsBeingProbed = true;
   auto socket = co_await transport::ConnectSocket(*target, kCheckTimeout);
-  aEndpoint->mIsBeingChecked = false;
-  aEndpoint->mProbedAt = aCore->mParts.mClock.Now();
+  aEndpoint->mIsBeingProbed = false;
+  aEndpoint->mProbedAt = aCore->mDependencies.mClock.Now();
   if (!socket) {
     aEndpoint->mHasCrashed =
       socket.error() == transport::asio::error::connection_refused;
@@ -211,8 +211,8 @@
   co_return reader;
 }
 
-/// Looks again at an endpoint that listened: one that is about to end may close
-/// its connections some moments before.
+/// Checks again an endpoint that listened: one that is about to end may close
+/// its connections some moments earlier.
 Task<void>
 Recheck(std::shared_ptr<Relay::Core> aCore,
         RelayEndpointPtr aEndpoint,
@@ -222,7 +222,7 @@
   if (!aConnection->IsClosed() || !aEndpoint->AcceptsWork()) {
     co_return;
   }
-  const auto second = co_await Check(aCore, aEndpoint);
+  const auto second = co_await ProbeEndpoint(aCore, aEndpoint);
   if (second) {
     second->Close(false);
   }
@@ -236,25 +236,26 @@
 Task<bool>
 HasCrashed(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint)
 {
-  while (aEndpoint->mIsBeingChecked) {
+  while (aEndpoint->mIsBeingProbed) {
     co_await transport::Sleep(kCheckPollInterval);
   }
-  const auto now = aCore->mParts.mClock.Now();
+  const auto now = aCore->mDependencies.mClock.Now();
   if (aEndpoint->mHasCrashed) {
     co_return true;
   }
-  // One that leaves ends as planned, whatever it still runs.
+  // An endpoint that leaves ends as planned, whatever it still runs.
   if (!aEndpoint->AcceptsWork() ||
       now - aEndpoint->mProbedAt < kCheckValidity) {
     co_return false;
   }
-  const auto connection = co_await Check(aCore, aEndpoint);
+  const auto connection = co_await ProbeEndpoint(aCore, aEndpoint);
   if (connection) {
-    // It serves a request, if one comes soon: it has cost a connection.
-    EndpointConnection kept;
-    kept.mReader = connection;
-    aCore->mEndpoints.PutIdle(*aEndpoint, std::move(kept), {}, now);
-    transport::Spawn(aCore->mParts.mContext,
+    // The connection is kept for the next request, since opening it has its
+    // cost.
+    EndpointConnection idle;
+    idle.mReader = connection;
+    aCore->mEndpoints.PutIdle(*aEndpoint, std::move(idle), {}, now);
+    transport::Spawn(aCore->mDependencies.mContext,
                      Recheck(aCore, aEndpoint, connection));
   }
   co_return aEndpoint->mHasCrashed;
--- a/packages/coordination/src/relay_crashes.h
+++ b/packages/coordination/src/relay_crashes.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Private to coordination: what a relay knows of requests that endpoints crash
-// under.
+// Private to coordination: requests under which endpoints crash, as a relay
+// knows them.
 
 #include <functional>
 #include <map>
@@ -13,73 +13,76 @@
 
 namespace shuntjunction::coordination {
 
-/// Remembers crashes, of this relay's requests and of the others', and refuses
-/// requests that crash every endpoint.
+/// Remembers crashes under this relay's requests and those of the other relays,
+/// and refuses requests that crash every endpoint.
 ///
-/// A relay alone sees a third of what a caller does who asks three of them, so
-/// that each crash is told to all by way of companions. A quarantine is kept in
-/// the platform's store too: it outlives all processes.
+/// A caller that asks three relays in turn shows each only a third of the
+/// crashes, so each crash is reported to all relays through companions. A
+/// quarantine is also recorded in the platform's store, which outlives all
+/// processes.
 /// Thread safety: none; used on the relay's thread.
 class RelayCrashes
 {
 public:
-  /// Running requests, each with what ends it.
+  /// Running requests, each with the callback that ends it.
   using Running = std::multimap<state::RequestDigest, std::function<void()>>;
 
-  /// @param aParts  outlive it, as their members do
-  explicit RelayCrashes(const RelayDependencies& aParts);
+  /// @param aDependencies  outlive this object, as do their members
+  explicit RelayCrashes(const RelayDependencies& aDependencies);
 
-  /// Adds a request that runs; aEnd is called if it is quarantined meanwhile.
+  /// Adds a running request; aEnd is called if it is quarantined meanwhile.
   Running::iterator Begin(const state::RequestDigest& aRequest,
                           std::function<void()> aEnd);
   void End(Running::iterator aRunning) { mRunning.erase(aRunning); }
 
-  /// Takes that an endpoint crashed while a request of this relay ran there.
-  void Note(const state::RequestDigest& aRequest,
-            const RelayEndpoint& aEndpoint);
+  /// Records that an endpoint crashed while a request of this relay ran there.
+  void NoteCrash(const state::RequestDigest& aRequest,
+                 const RelayEndpoint& aEndpoint);
 
-  /// Takes that a request ended well: it is innocent.
+  /// Records that a request completed, which clears it of suspicion.
   void NoteCompleted(const state::RequestDigest& aRequest);
 
-  /// Takes what other relays saw.
-  void Take(const protocol::CrashReports& aReports);
+  /// Applies other relays' crash reports.
+  void ApplyReports(const protocol::CrashReports& aReports);
 
-  /// Takes what the platform's store holds; what was there before and is gone
-  /// was released by an operator.
+  /// Applies the quarantined requests in the platform's store; one that is no
+  /// longer there was released by an operator.
   void ApplyQuarantined(const QuarantinedRequests& aQuarantined);
 
-  /// How long a request is refused from now on; zero: it may run.
+  /// How long a request is refused from now on; zero if it may run.
   state::Millis QuarantineLeft(const state::RequestDigest& aRequest) const;
 
-  /// Crashes that are known under a request.
+  /// Number of known crashes under a request.
   int Crashes(const state::RequestDigest& aRequest) const;
 
   void SetGauges();
 
 private:
-  /// Refuses a request from now on and ends those of it that run.
+  /// Refuses a request from now on and ends those of its copies that run.
   void BeginQuarantine(const state::RequestDigest& aRequest,
                        std::string_view aSource);
-  /// Adds a word for the other relays; all of some moments go together.
-  void Tell(const state::CrashReport& aReport, bool aIsCleared);
+  /// Queues a report for the other relays; reports of the same moment are sent
+  /// together.
+  void QueueReport(const state::CrashReport& aReport, bool aIsCleared);
   transport::Task<void> FlushSoon();
-  state::TimePoint Now() const { return mParts.mClock.Now(); }
+  state::TimePoint Now() const { return mDependencies.mClock.Now(); }
 
-  const RelayDependencies& mParts;
-  state::CrashTracker mLedger;
+  const RelayDependencies& mDependencies;
+  state::CrashTracker mTracker;
   Running mRunning;
-  /// Requests of which this relay saw a crash itself since they were cleared.
-  std::set<state::RequestDigest> mSeen;
-  QuarantinedRequests mStored; ///< as the store held them last
-  /// Words that wait to be told, by the endpoint that crashed.
+  /// Requests under which this relay itself saw a crash since they were
+  /// cleared.
+  std::set<state::RequestDigest> mOwnCrashes;
+  QuarantinedRequests mStoredQuarantines; ///< last state in the store
+  /// Reports that wait to be sent, by the endpoint that crashed.
   std::map<std::uint64_t, protocol::CrashReports> mPendingReports;
 };
 
-/// Whether an endpoint crashed from which a connection broke off just now.
+/// Whether an endpoint crashed to which a connection broke just now.
 ///
-/// A connection alone may break for many causes. That nothing listens at its
-/// address any more tells a crash from them; it is asked once for all requests
-/// that broke off there together.
+/// A connection may break for many reasons. A crash shows in that nothing
+/// listens at the endpoint's address any more; this is checked once for all
+/// requests whose connections broke together.
 transport::Task<bool>
 HasCrashed(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint);
 
--- a/packages/coordination/src/relay_endpoint.cpp
+++ b/packages/coordination/src/relay_endpoint.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::string_view kTimeoutPrefix = "timeout=";
 
-/// The whole seconds that a Keep-Alive field names; empty when it names none.
+/// The whole seconds in a Keep-Alive field; empty when there are none.
 std::optional<Millis>
 KeepAliveLimit(std::string_view aValue)
 {
@@ -52,7 +52,7 @@
 void
 RelayEndpoint::CloseIdle()
 {
-  // A reader that is only let go stays open until its peer closes.
+  // A reader that is only released stays open until its peer closes.
   for (const auto& connection : mIdle) {
     connection.mReader->Close(false);
   }
@@ -78,17 +78,17 @@
       entry->mAvailability =
         mAvailabilities.Find(info.mId, info.mEndpointIncarnation);
     }
-    const auto word =
+    const auto update =
       entry->mEndpointIncarnation.Take(info.mEndpointIncarnation, aNow);
-    if (word == IncarnationUpdate::kNewer) {
-      changes.mRestarted.push_back(BeginLife(entry));
+    if (update == IncarnationUpdate::kNewer) {
+      changes.mRestarted.push_back(BeginIncarnation(entry));
     }
     const bool wasLeaving = entry->mInfo.mIsLeaving;
     if (info.mIsLeaving && !wasLeaving) {
       changes.mLeaving.push_back(entry);
     }
-    if (word == IncarnationUpdate::kFormer) {
-      // Its companion told of a later life than the list: see
+    if (update == IncarnationUpdate::kFormer) {
+      // Its companion reported a later incarnation than the list: see
       // EndpointDirectory.
       ++mStaleReports;
       entry->mInfo.mIsLeaving = wasLeaving || info.mIsLeaving;
@@ -116,7 +116,7 @@
 }
 
 RelayEndpointPtr
-RelayEndpoints::BeginLife(RelayEndpointPtr& aEntry)
+RelayEndpoints::BeginIncarnation(RelayEndpointPtr& aEntry)
 {
   const auto former = std::exchange(aEntry, std::make_shared<RelayEndpoint>());
   aEntry->mInfo = former->mInfo;
@@ -173,7 +173,7 @@
 }
 
 RelayEndpointPtr
-RelayEndpoints::FindLife(state::LimitHash aHash) const
+RelayEndpoints::FindIncarnation(state::LimitHash aHash) const
 {
   for (const auto& [id, endpoint] : mById) {
     if (state::HashOfIncarnation(
@@ -198,16 +198,16 @@
 
 EndpointConnection
 RelayEndpoints::TakeIdle(RelayEndpoint& aEndpoint,
-                         Millis aMaxRest,
+                         Millis aMaxIdle,
                          TimePoint aNow)
 {
   while (!aEndpoint.mIdle.empty()) {
     auto connection = std::move(aEndpoint.mIdle.back());
     aEndpoint.mIdle.pop_back();
-    const auto rest = aNow - connection.mIdleSince;
+    const auto idle = aNow - connection.mIdleSince;
     const bool isSound =
       !connection.mReader->IsClosed() && connection.mReader->Buffered().empty();
-    if (isSound && rest < std::min(aMaxRest, connection.mIdleLimit)) {
+    if (isSound && idle < std::min(aMaxIdle, connection.mIdleLimit)) {
       return connection;
     }
     connection.mReader->Close(false);
@@ -276,19 +276,19 @@
 {
   const auto found = mById.find(aNews.mEndpoint);
   if (found == mById.end() && !aNews.mModel.empty()) {
-    // Of an engine that is not, or no longer, listed.
+    // From an engine that is not listed, or no longer.
     return nullptr;
   }
   RelayEndpointPtr restarted;
   if (found != mById.end()) {
-    const auto word = found->second->mEndpointIncarnation.Take(
+    const auto update = found->second->mEndpointIncarnation.Take(
       aNews.mEndpointIncarnation, aNow);
-    if (word == IncarnationUpdate::kFormer) {
+    if (update == IncarnationUpdate::kFormer) {
       ++mStaleReports;
       return nullptr;
     }
-    if (word == IncarnationUpdate::kNewer) {
-      restarted = BeginLife(found->second);
+    if (update == IncarnationUpdate::kNewer) {
+      restarted = BeginIncarnation(found->second);
     }
     ApplyState(*found->second, aNews, aNow);
   }
--- a/packages/coordination/src/relay_endpoint.h
+++ b/packages/coordination/src/relay_endpoint.h
@@ -43,7 +43,7 @@
 {
   std::shared_ptr<transport::SocketReader> mReader;
   state::TimePoint mIdleSince;
-  state::Millis mIdleLimit{ 0 }; ///< reused only before it rested so long
+  state::Millis mIdleLimit{ 0 }; ///< reused only while idle for less
 };
 
 /// Settings of RelayEndpoints.
@@ -51,47 +51,50 @@
 {
   /// Of a new connection; the endpoints' zones are milliseconds apart.
   state::Millis mConnectTimeout{ 400 };
-  /// Rest after which a connection whose endpoint names no limit is dropped.
+  /// Idle time after which a connection is closed if its endpoint states no
+  /// limit.
   state::Millis mIdleLimit{ 4000 };
-  /// Share of an endpoint's own limit that is used: the rest covers the way.
+  /// Share of an endpoint's own limit that is used; the rest covers the transit
+  /// time.
   double mIdleShare = 0.5;
-  /// Failures in a row that make an endpoint suspect.
+  /// Consecutive failures that make an endpoint suspect.
   int mFailuresToSuspect = 2;
   state::Millis mFirstSuspectPause{ 500 };
   state::Millis mMaxSuspectPause{ 4000 };
-  /// Rest of an endpoint that refused for want of room.
+  /// Pause of an endpoint that refused for lack of capacity.
   state::Millis mFullPause{ 50 };
-  /// Rest of an endpoint that answered that another was meant: its address has
-  /// passed on, or its weights changed unannounced. The list, or its companion,
-  /// tells in time.
+  /// Pause of an endpoint that answered that another was addressed: its address
+  /// now belongs to another endpoint, or its weights changed unannounced. The
+  /// list or its companion reports this in time.
   state::Millis mMisdirectedPause{ 250 };
-  /// Rest of an endpoint whose machine refused the connection: nothing runs
+  /// Pause of an endpoint whose machine refused the connection: nothing runs
   /// there.
   state::Millis mRefusedPause{ 300 };
-  /// Companions speak at least once a second; older news is not believed.
+  /// Companions send a status at least once a second; an older one is not used.
   state::Millis mNewsLimit{ 2500 };
   state::SilenceSettings mSilence;
 };
 
-/// A request whose connection broke off at an endpoint.
+/// A request whose connection to an endpoint broke.
 struct BrokenRequest
 {
   state::RequestDigest mRequest;
   state::TimePoint mAt;
 };
 
-/// The rate that an endpoint in need takes from all relays, as one knows it.
+/// The rate to which an endpoint in need limits all relays together, as one
+/// relay knows it.
 struct AdvertisedRate
 {
   double mPerSecond = 0;
-  /// When its keeper may have a place, for urgent requests and for others.
+  /// When its owner may have a permit, for urgent requests and for others.
   state::TimePoint mUrgentPermitAt;
   state::TimePoint mPermitAt;
-  /// Its last word, or the last question for a place.
+  /// When it was last reported, or a permit last requested.
   state::TimePoint mHeardAt;
-  // Requests since the last line of the log.
+  // Requests since the last log line.
   std::int64_t mSent = 0;
-  std::int64_t mWithoutPermit = 0; ///< went elsewhere, or were refused
+  std::int64_t mWithoutPermit = 0; ///< sent elsewhere, or refused
 
   state::TimePoint PermitAt(bool aIsUrgent) const
   {
@@ -99,7 +102,7 @@
   }
 };
 
-/// When an endpoint takes requests again.
+/// What keeps requests from an endpoint, and until when.
 struct Unavailability
 {
   state::Obstacle mObstacle = state::Obstacle::kNone;
@@ -110,35 +113,37 @@
 struct RelayEndpoint
 {
   state::EndpointInfo mInfo;
-  state::IncarnationTracker mEndpointIncarnation; ///< that all of this is about
+  /// The incarnation that this record describes.
+  state::IncarnationTracker mEndpointIncarnation;
   std::uint64_t mNameHash = 0;
   /// Of this incarnation; it outlasts a lapse of the list's entry.
   state::AvailabilityRegistry::Ptr mAvailability;
-  std::vector<EndpointConnection> mIdle; ///< the freshest last
+  std::vector<EndpointConnection> mIdle; ///< the most recently used last
   /// Connections on which a request waits for its answer.
   std::set<std::shared_ptr<transport::SocketReader>> mBusy;
-  std::int64_t mRunning = 0; ///< requests of this relay there
-  std::int64_t mSuspectRequests =
-    0;                           ///< of these, that go apart; see ChooseApart
-  state::WaitingTokens mWaiting; ///< of this relay's, by their urgency there
-  state::LateRequests mLate;     ///< of this relay's, behind all others there
-  int mFailures = 0;             ///< in a row
+  std::int64_t mRunning = 0;         ///< requests of this relay there
+  std::int64_t mSuspectRequests = 0; ///< of these, see state::ChooseForSuspect
+  state::WaitingTokens mWaiting;     ///< of this relay's, by urgency there
+  /// Requests of this relay that are queued behind all others there.
+  state::LateRequests mLate;
+  int mFailures = 0; ///< consecutive
   state::Millis mSuspectPause{ 0 };
   state::TimePoint mSuspectUntil;
-  /// Nothing listens at its address, or another life of it does.
+  /// Nothing listens at its address, or another incarnation of it does.
   bool mHasCrashed = false;
-  bool mIsBeingChecked = false; ///< whether it has; see HasCrashed
+  bool mIsBeingProbed = false; ///< for a crash; see HasCrashed
   state::TimePoint mProbedAt;
-  /// Requests that broke off here though it listens: it may have crashed and
-  /// be back already.
+  /// Requests whose connections broke though it listens: it may have crashed
+  /// and be back already.
   std::vector<BrokenRequest> mBrokenRequests;
-  /// What its companion said last; empty before it said anything.
+  /// Last status of its companion; empty before the first.
   std::optional<protocol::EngineNews> mNews;
   state::TimePoint mNewsAt;
   /// Its companion's connection was ended by the companion's machine.
   bool mIsNewsConnectionEnded = false;
-  std::optional<AdvertisedRate> mRate; ///< while it names one
-  /// Its last bytes, or the sending of a request when none waited there.
+  std::optional<AdvertisedRate> mRate; ///< while it advertises one
+  /// When its last bytes came, or when a request was sent while none waited
+  /// there.
   state::TimePoint mLastBytesAt;
 
   /// Whether it is neither removed nor draining.
@@ -147,7 +152,7 @@
     return mAvailability->IsListed() && !mAvailability->IsDraining();
   }
 
-  /// What the rate that it names asks of a request.
+  /// The permit that a request needs at the rate that it advertises.
   state::PermitNeed PermitNeedOf(bool aIsUrgent, bool aIsHeld) const
   {
     return mRate
@@ -155,9 +160,10 @@
              : state::PermitNeed{};
   }
 
-  /// The obstacle that its own answers advertised, and its end.
+  /// The obstacle that its own answers advertised, and when it ends.
   ///
-  /// Pauses after failed attempts are left out: it may be back at any moment.
+  /// Pauses after failed attempts are left out: the endpoint may be back at any
+  /// moment.
   Unavailability UnavailabilityAt(state::TimePoint aNow, bool aIsUrgent) const;
 
   /// Closes connections on which no request waits.
@@ -166,11 +172,11 @@
 
 using RelayEndpointPtr = std::shared_ptr<RelayEndpoint>;
 
-/// What a list changed.
+/// Changes that a list brought.
 struct EndpointChanges
 {
-  std::vector<RelayEndpointPtr> mLeaving;   ///< take no new work any more
-  std::vector<RelayEndpointPtr> mRestarted; ///< in another life
+  std::vector<RelayEndpointPtr> mLeaving;   ///< accept no more new work
+  std::vector<RelayEndpointPtr> mRestarted; ///< now in another incarnation
 };
 
 /// All endpoints of a relay.
@@ -181,38 +187,39 @@
 public:
   explicit RelayEndpoints(const RelayEndpointSettings& aSettings);
 
-  /// Takes the list; resting connections of endpoints that leave, or went, are
-  /// closed, and all of those that started again.
+  /// Applies the list; closes idle connections of endpoints that leave or are
+  /// gone, and all connections of those that restarted.
   EndpointChanges Update(const std::vector<state::EndpointInfo>& aListed,
                          state::TimePoint aNow);
 
   /// Endpoints of a service that may get new work.
   std::vector<RelayEndpointPtr> Serving(std::string_view aService) const;
 
-  /// Endpoints of a service that are listed, draining ones among them.
+  /// Endpoints of a service that are listed, including draining ones.
   std::vector<RelayEndpointPtr> Listed(std::string_view aService) const;
 
-  /// How many listed endpoints meet an obstacle of their own.
+  /// Number of listed endpoints with an obstacle of their own.
   std::size_t CountObstacles(state::Obstacle aObstacle,
                              state::TimePoint aNow) const;
 
-  /// The endpoint of an id; null when it is not listed.
+  /// The endpoint with an id; null when it is not listed.
   RelayEndpointPtr Find(std::string_view aId) const;
 
-  /// The endpoint whose life has a hash; null when it is not listed.
-  RelayEndpointPtr FindLife(state::LimitHash aHash) const;
+  /// The endpoint whose incarnation has a hash; null when it is not listed.
+  RelayEndpointPtr FindIncarnation(state::LimitHash aHash) const;
 
-  /// Endpoints that name a rate.
+  /// Endpoints that advertise a rate.
   std::vector<RelayEndpointPtr> Limited() const;
 
-  /// Takes a connection that rested; empty reader when there is none.
+  /// Takes an idle connection out of the pool; its reader is null when there is
+  /// none.
   ///
-  /// @param aMaxRest  longest rest that is accepted
+  /// @param aMaxIdle  longest idle time that is accepted
   EndpointConnection TakeIdle(RelayEndpoint& aEndpoint,
-                              state::Millis aMaxRest,
+                              state::Millis aMaxIdle,
                               state::TimePoint aNow);
 
-  /// Gives a connection back after a whole answer.
+  /// Returns a connection to the pool after a complete answer.
   ///
   /// @param aKeepAlive  value of the answer's Keep-Alive field
   void PutIdle(RelayEndpoint& aEndpoint,
@@ -226,61 +233,61 @@
     return std::make_shared<ConnectionCount>(mOpen);
   }
 
-  /// Connections to endpoints that are open or being opened.
+  /// Number of connections to endpoints that are open or being opened.
   std::int64_t OpenConnections() const { return *mOpen; }
 
-  /// Closes the connection that has rested the longest; false: none rests.
+  /// Closes the connection that was idle the longest; false: none is idle.
   bool CloseLongestIdle();
 
-  /// Closes connections that rested too long.
+  /// Closes connections that were idle for too long.
   void CloseStale(state::TimePoint aNow);
 
-  /// Takes what an endpoint's companion said of it, or of the part store.
+  /// Applies a companion's status of its endpoint or of the part store.
   ///
-  /// @return the endpoint, if it started again; otherwise null
+  /// @return the endpoint, if it restarted; otherwise null
   RelayEndpointPtr ApplyNews(const protocol::EngineNews& aNews,
                              state::TimePoint aNow);
 
-  /// What the companion said, unless it is too old.
+  /// The companion's last status, unless it is too old.
   const protocol::EngineNews* FreshNews(const RelayEndpoint& aEndpoint,
                                         state::TimePoint aNow) const;
 
-  /// Takes that the machine of a host ended its companion's connection.
+  /// Records that the machine of a host ended its companion's connection.
   void NoteNewsConnectionEnded(std::string_view aHost);
 
   /// Whether nothing shows that an endpoint's machine still runs.
   bool IsSilent(const RelayEndpoint& aEndpoint, state::TimePoint aNow) const;
 
-  /// Whether it has stopped under the requests that wait there.
+  /// Whether the machine stopped while requests wait there.
   bool HasStopped(const RelayEndpoint& aEndpoint, state::TimePoint aNow) const;
 
-  /// Wakes the requests that wait at endpoints whose machines have stopped:
-  /// they may go on elsewhere.
+  /// Wakes the requests that wait at endpoints whose machines have stopped, so
+  /// that they can go on elsewhere.
   void WakeRequestsAtStopped(state::TimePoint aNow);
 
-  /// Notes that a request failed there, or that it went well.
+  /// Record that a request failed there, or that it went well.
   void NoteFailure(RelayEndpoint& aEndpoint, state::TimePoint aNow);
   void NoteSuccess(RelayEndpoint& aEndpoint);
 
-  /// Which endpoints and stores keep which parts; stores by their address.
+  /// Which endpoints and stores cache which parts; stores by their address.
   const state::PartIndex& Parts() const { return mParts; }
 
   const RelayEndpointSettings& Settings() const { return mSettings; }
 
-  /// Words of former lives that were passed over.
+  /// Number of ignored reports of former incarnations.
   std::uint64_t StaleReports() const { return mStaleReports; }
 
 private:
-  /// Puts another life in an endpoint's place: it is as if just listed, and
-  /// what waits for its former life is cut off.
-  RelayEndpointPtr BeginLife(RelayEndpointPtr& aEntry);
+  /// Replaces an endpoint by its new incarnation: it is as if just listed, and
+  /// what waits for its former incarnation is cut off.
+  RelayEndpointPtr BeginIncarnation(RelayEndpointPtr& aEntry);
 
   static state::LivenessSignals SignsOf(const RelayEndpoint& aEndpoint,
                                         state::TimePoint aNow);
   static void ApplyState(RelayEndpoint& aEndpoint,
                          const protocol::EngineNews& aNews,
                          state::TimePoint aNow);
-  /// Ends all that waits for an endpoint that is down.
+  /// Closes all connections of an endpoint that is down.
   static void CloseConnections(RelayEndpoint& aEndpoint);
 
   RelayEndpointSettings mSettings;
--- a/packages/coordination/src/relay_endpoint_choice.cpp
+++ b/packages/coordination/src/relay_endpoint_choice.cpp
@@ -14,37 +14,37 @@
 
 namespace {
 
-/// An endpoint whose rate nobody asked about for so long is no longer passed
+/// An endpoint whose rate was not queried for this long is no longer passed
 /// over for others.
 constexpr Millis kRateQueryTimeout{ 1000 };
 
 std::string
-CacheSalt(const EndpointQuery& aAsk, std::uint64_t aWeights)
+CacheSalt(const EndpointQuery& aQuery, std::uint64_t aWeights)
 {
-  std::string salt = aAsk.mCall->mModel + "." + std::to_string(aWeights);
-  if (!aAsk.mIsolatedTeam.empty()) {
+  std::string salt = aQuery.mCall->mModel + "." + std::to_string(aWeights);
+  if (!aQuery.mIsolatedTeam.empty()) {
     salt += ".";
-    salt += aAsk.mIsolatedTeam;
+    salt += aQuery.mIsolatedTeam;
   }
   return salt;
 }
 
-/// Engines of a service as candidates, with those that may not be taken left
-/// out.
+/// The engines of a service as candidates, without those that may not be
+/// chosen.
 class CandidateList
 {
 public:
-  CandidateList(Relay::Core& aCore, const EndpointQuery& aAsk)
+  CandidateList(Relay::Core& aCore, const EndpointQuery& aQuery)
     : mCore(aCore)
-    , mAsk(aAsk)
-    , mNow(aCore.mParts.mClock.Now())
+    , mQuery(aQuery)
+    , mNow(aCore.mDependencies.mClock.Now())
   {
     const auto& weights = aCore.mView->mWeights;
-    const auto found = weights.find(aAsk.mCall->mModel);
-    if (!aAsk.mCall->mModel.empty() && found != weights.end()) {
-      mNamed = &found->second;
+    const auto found = weights.find(aQuery.mCall->mModel);
+    if (!aQuery.mCall->mModel.empty() && found != weights.end()) {
+      mHistory = &found->second;
     }
-    for (const auto& endpoint : aCore.mEndpoints.Serving(aAsk.mService)) {
+    for (const auto& endpoint : aCore.mEndpoints.Serving(aQuery.mService)) {
       Add(endpoint);
     }
   }
@@ -56,28 +56,29 @@
   }
   std::uint64_t Newest() const
   {
-    return mNamed == nullptr ? 0 : mNamed->Newest();
+    return mHistory == nullptr ? 0 : mHistory->Newest();
   }
 
 private:
   void Add(const RelayEndpointPtr& aEndpoint)
   {
-    const auto& tried = *mAsk.mTriedEndpoints;
+    const auto& tried = *mQuery.mTriedEndpoints;
     const bool isTried =
       std::find(tried.begin(), tried.end(), aEndpoint->mInfo.mId) !=
       tried.end();
     const auto& rate = aEndpoint->mRate;
     const auto obstacle = aEndpoint->mAvailability->ObstacleAt(
-      mNow, aEndpoint->PermitNeedOf(IsUrgent(mAsk.mUrgency), false));
+      mNow, aEndpoint->PermitNeedOf(IsUrgent(mQuery.mUrgency), false));
     if (isTried || obstacle != Obstacle::kNone) {
       return;
     }
     RelayCandidate candidate;
     const auto* news = mCore.mEndpoints.FreshNews(*aEndpoint, mNow);
-    if (!mAsk.mCall->mModel.empty()) {
-      candidate.mVersion = news != nullptr && news->mModel == mAsk.mCall->mModel
-                             ? news->mWeights
-                             : aEndpoint->mInfo.VersionOf(mAsk.mCall->mModel);
+    if (!mQuery.mCall->mModel.empty()) {
+      candidate.mVersion =
+        news != nullptr && news->mModel == mQuery.mCall->mModel
+          ? news->mWeights
+          : aEndpoint->mInfo.VersionOf(mQuery.mCall->mModel);
       if (candidate.mVersion == 0 ||
           IsClosedForLoad(*aEndpoint, candidate, news)) {
         return;
@@ -88,44 +89,45 @@
     }
     candidate.mNameHash = aEndpoint->mNameHash;
     candidate.mIsSameZone =
-      aEndpoint->mInfo.mZone == mCore.mParts.mSettings.mZone;
+      aEndpoint->mInfo.mZone == mCore.mDependencies.mSettings.mZone;
     candidate.mIsSuspect = mNow < aEndpoint->mSuspectUntil ||
                            mCore.mEndpoints.IsSilent(*aEndpoint, mNow);
-    // Now and then it is asked like any other: its answer may say that the rate
-    // is over.
+    // It is tried like any other from time to time: its answer may show that
+    // the rate is over.
     candidate.mIsLimited = rate && mNow - rate->mHeardAt < kRateQueryTimeout;
     candidate.mRunning = aEndpoint->mRunning;
     candidate.mSuspectRequests = aEndpoint->mSuspectRequests;
     candidate.mSlots = aEndpoint->mInfo.mSlots;
-    candidate.mQueuedTokens = aEndpoint->mWaiting.AheadOf(mAsk.mUrgency);
+    candidate.mQueuedTokens = aEndpoint->mWaiting.AheadOf(mQuery.mUrgency);
     if (news != nullptr) {
-      candidate.mQueuedTokens += news->mWaiting.AheadOf(mAsk.mUrgency);
+      candidate.mQueuedTokens += news->mWaiting.AheadOf(mQuery.mUrgency);
     }
     mCandidates.push_back(candidate);
     mEndpoints.push_back(aEndpoint);
   }
 
-  /// Whether an engine keeps the prompt's last shared part for its weights.
+  /// Whether an engine caches the prompt's last shared part for its weights.
   ///
-  /// The holders are looked up once a version, not a name built and looked up
-  /// for each of some hundred engines.
+  /// The holders are looked up once per version, instead of building and
+  /// looking up a name for each of a hundred or more engines.
   bool HoldsPart(const RelayEndpoint& aEndpoint, std::uint64_t aVersion)
   {
-    const auto part = mAsk.mCall->LastSharedPart();
+    const auto part = mQuery.mCall->LastSharedPart();
     if (part.empty()) {
       return false;
     }
     const auto [found, isNew] = mHolders.try_emplace(aVersion);
     if (isNew) {
       found->second = mCore.mEndpoints.Parts().Holders(
-        state::PartName(CacheSalt(mAsk, aVersion), part));
+        state::PartName(CacheSalt(mQuery, aVersion), part));
     }
     const auto& holders = found->second;
     return std::binary_search(
       holders.begin(), holders.end(), aEndpoint.mInfo.mId);
   }
 
-  /// Whether an engine on older weights is about to load, or too old.
+  /// Whether an engine on older weights is about to load newer ones, or its
+  /// weights are too old.
   bool IsClosedForLoad(const RelayEndpoint& aEndpoint,
                        const RelayCandidate& aCandidate,
                        const protocol::EngineNews* aNews) const
@@ -136,8 +138,8 @@
     if (aCandidate.mVersion >= Newest()) {
       return false;
     }
-    const auto& settings = mCore.mParts.mSettings;
-    const auto superseded = mNamed->SupersededAt(aCandidate.mVersion);
+    const auto& settings = mCore.mDependencies.mSettings;
+    const auto superseded = mHistory->SupersededAt(aCandidate.mVersion);
     const auto limit =
       settings.mBounds.mWeightsLimit - mCore.mLimits.mWeightsMargin;
     if (superseded && mNow - *superseded >= limit) {
@@ -146,40 +148,42 @@
     if (aNews != nullptr) {
       return false;
     }
-    // Nothing is heard of its companion: by the order that all compute alike.
+    // Without a status from its companion, the load order decides, which all
+    // processes compute alike.
     const auto turn = state::LoadStartOf(
-      mNamed->mLoadOrder, aEndpoint.mInfo.mId, settings.mLoadSchedule);
-    const auto age = mNow - mNamed->NewestLearnedAt();
+      mHistory->mLoadOrder, aEndpoint.mInfo.mId, settings.mLoadSchedule);
+    const auto age = mNow - mHistory->NewestLearnedAt();
     return turn && age >= *turn - settings.mLoadSchedule.mDrainLead &&
            age < *turn + mCore.mLimits.mLoadTimeout;
   }
 
   Relay::Core& mCore;
-  const EndpointQuery& mAsk;
+  const EndpointQuery& mQuery;
   TimePoint mNow;
-  const WeightsHistory* mNamed = nullptr; ///< null: none was named
+  const WeightsHistory* mHistory = nullptr; ///< null: none was announced
   std::vector<RelayCandidate> mCandidates;
   std::vector<RelayEndpointPtr> mEndpoints;
   std::map<std::uint64_t, std::vector<std::string>> mHolders; ///< by version
 };
 
-/// Tokens that the endpoint will have to read: those of the request's own part
-/// and, if no other endpoint is known to have them, those of the shared ones.
+/// Tokens that the endpoint will have to prefill: those of the request's own
+/// part and, unless an endpoint is known to cache them, those of the shared
+/// ones.
 std::int64_t
 PrefillTokens(Relay::Core& aCore,
-              const EndpointQuery& aAsk,
-              const EndpointChoice& aPick)
+              const EndpointQuery& aQuery,
+              const EndpointChoice& aChoice)
 {
-  const auto& parts = aAsk.mCall->mParts;
+  const auto& parts = aQuery.mCall->mParts;
   if (parts.empty()) {
-    return aAsk.mCall->mPromptTokens;
+    return aQuery.mCall->mPromptTokens;
   }
-  const bool isKept = aCore.mEndpoints.Parts().HasHolder(aPick.mPartName);
-  return parts.back().mTokens + (isKept ? 0 : aAsk.mCall->SharedTokens());
+  const bool isCached = aCore.mEndpoints.Parts().HasHolder(aChoice.mPartName);
+  return parts.back().mTokens + (isCached ? 0 : aQuery.mCall->SharedTokens());
 }
 
-/// The store that keeps a part, of several the one in a zone; empty: none does,
-/// as far as is known.
+/// The store that holds a part, preferably one in the zone; empty if none is
+/// known to hold it.
 std::string
 StoreHoldingPart(Relay::Core& aCore,
                  const std::string& aPartName,
@@ -195,32 +199,32 @@
   return address;
 }
 
-/// Names where the shared part may be fetched from and saved to.
+/// Sets where the shared part may be fetched from and saved to.
 ///
-/// Moves to and from one place follow each other. Parts that are read in a few
-/// milliseconds are neither moved nor waited for: they stood up to 2 s behind
-/// large ones, and kept those waiting.
+/// Transfers to and from one place run one after the other. Parts that are
+/// prefilled within a few milliseconds are neither transferred nor waited for:
+/// they were queued for up to 2 s behind large ones and delayed others in turn.
 void
-SetPartLocations(Relay::Core& aCore, EndpointChoice& aPick)
+SetPartLocations(Relay::Core& aCore, EndpointChoice& aChoice)
 {
-  const auto now = aCore.mParts.mClock.Now();
-  const auto& name = aPick.mPartName;
-  const auto& zone = aPick.mEndpoint->mInfo.mZone;
+  const auto now = aCore.mDependencies.mClock.Now();
+  const auto& name = aChoice.mPartName;
+  const auto& zone = aChoice.mEndpoint->mInfo.mZone;
   const auto* own =
     state::StoreOfPart(aCore.mView->mConfig->Rules().mKvStores, name, zone);
   const std::string ownStore = own == nullptr ? "" : own->mAddress;
-  const std::string keeper = StoreHoldingPart(aCore, name, zone);
-  const auto& record = aCore.mLedger.At(name);
+  const std::string holdingStore = StoreHoldingPart(aCore, name, zone);
+  const auto& record = aCore.mPartRecords.At(name);
   const bool isSavedLately = now - record.mSavedAt < aCore.mLimits.mNewsDelay;
-  if (!isSavedLately && keeper.empty()) {
-    aPick.mPartStore = ownStore;
+  if (!isSavedLately && holdingStore.empty()) {
+    aChoice.mPartStore = ownStore;
   }
-  // A source that has nothing costs a millisecond, so one is always named.
-  aPick.mPartSource = keeper.empty() ? ownStore : keeper;
+  // A source without the part costs a millisecond, so one is always named.
+  aChoice.mPartSource = holdingStore.empty() ? ownStore : holdingStore;
   for (const auto& holder : aCore.mEndpoints.Parts().Holders(name)) {
     const auto endpoint = aCore.mEndpoints.Find(holder);
-    if (endpoint && endpoint != aPick.mEndpoint) {
-      aPick.mPartSource = endpoint->mInfo.mAddress;
+    if (endpoint && endpoint != aChoice.mEndpoint) {
+      aChoice.mPartSource = endpoint->mInfo.mAddress;
       break;
     }
   }
@@ -229,18 +233,18 @@
 } // namespace
 
 std::optional<EndpointChoice>
-ChooseEndpoint(Relay::Core& aCore, const EndpointQuery& aAsk)
+ChooseEndpoint(Relay::Core& aCore, const EndpointQuery& aQuery)
 {
-  const CandidateList list(aCore, aAsk);
+  const CandidateList list(aCore, aQuery);
   const auto& candidates = list.Candidates();
-  const auto& settings = aCore.mParts.mSettings.mChoice;
-  const auto part = aAsk.mCall->LastSharedPart();
+  const auto& settings = aCore.mDependencies.mSettings.mChoice;
+  const auto part = aQuery.mCall->LastSharedPart();
   std::optional<std::size_t> index;
   const bool isPlacedByPart =
-    aAsk.mCall->SharedTokens() >= settings.mMinSharedTokens;
-  if (aAsk.mCrashSuspectHash) {
+    aQuery.mCall->SharedTokens() >= settings.mMinSharedTokens;
+  if (aQuery.mCrashSuspectHash) {
     index =
-      state::ChooseForSuspect(candidates, *aAsk.mCrashSuspectHash, settings);
+      state::ChooseForSuspect(candidates, *aQuery.mCrashSuspectHash, settings);
   } else if (isPlacedByPart) {
     const auto key = state::PlacementHash(part);
     index = state::ChooseByPart(candidates, key, settings);
@@ -252,50 +256,50 @@
   if (!index) {
     return std::nullopt;
   }
-  EndpointChoice pick;
-  pick.mIsCrashSuspect = aAsk.mCrashSuspectHash.has_value();
-  pick.mEndpoint = list.At(*index);
-  pick.mWeights = candidates[*index].mVersion;
-  pick.mIsKept = candidates[*index].mHoldsPart;
-  pick.mCandidates = candidates.size();
-  pick.mWaitingTokens = candidates[*index].mQueuedTokens;
-  const auto now = aCore.mParts.mClock.Now();
-  if (aCore.mEndpoints.FreshNews(*pick.mEndpoint, now) != nullptr) {
-    pick.mNewsAge =
-      std::chrono::duration_cast<Millis>(now - pick.mEndpoint->mNewsAt);
+  EndpointChoice choice;
+  choice.mIsCrashSuspect = aQuery.mCrashSuspectHash.has_value();
+  choice.mEndpoint = list.At(*index);
+  choice.mWeights = candidates[*index].mVersion;
+  choice.mIsPartCached = candidates[*index].mHoldsPart;
+  choice.mCandidates = candidates.size();
+  choice.mWaitingTokens = candidates[*index].mQueuedTokens;
+  const auto now = aCore.mDependencies.mClock.Now();
+  if (aCore.mEndpoints.FreshNews(*choice.mEndpoint, now) != nullptr) {
+    choice.mNewsAge =
+      std::chrono::duration_cast<Millis>(now - choice.mEndpoint->mNewsAt);
   }
-  if (pick.mWeights != 0) {
-    pick.mSalt = CacheSalt(aAsk, pick.mWeights);
+  if (choice.mWeights != 0) {
+    choice.mSalt = CacheSalt(aQuery, choice.mWeights);
   }
   if (isPlacedByPart) {
-    pick.mPart = part;
-    pick.mPartName = state::PartName(pick.mSalt, part);
-    SetPartLocations(aCore, pick);
+    choice.mPart = part;
+    choice.mPartName = state::PartName(choice.mSalt, part);
+    SetPartLocations(aCore, choice);
   }
-  pick.mPrefillTokens = PrefillTokens(aCore, aAsk, pick);
-  pick.mExpected =
-    aCore.mPrefillRate.TimeOf(pick.mWaitingTokens + pick.mPrefillTokens);
-  pick.mUrgency = state::EffectiveUrgency(
-    { aAsk.mElapsed, pick.mExpected, aAsk.mObjective, aAsk.mUrgency },
+  choice.mPrefillTokens = PrefillTokens(aCore, aQuery, choice);
+  choice.mExpected =
+    aCore.mPrefillRate.TimeOf(choice.mWaitingTokens + choice.mPrefillTokens);
+  choice.mUrgency = state::EffectiveUrgency(
+    { aQuery.mElapsed, choice.mExpected, aQuery.mObjective, aQuery.mUrgency },
     aCore.mLimits.mFirstToken);
-  pick.mIsDeprioritized = pick.mUrgency > aAsk.mUrgency;
-  return pick;
+  choice.mIsDeprioritized = choice.mUrgency > aQuery.mUrgency;
+  return choice;
 }
 
 std::optional<ServiceOutage>
-OutageOf(Relay::Core& aCore, const EndpointQuery& aAsk)
+OutageOf(Relay::Core& aCore, const EndpointQuery& aQuery)
 {
-  const auto& tried = *aAsk.mTriedEndpoints;
-  const auto now = aCore.mParts.mClock.Now();
+  const auto& tried = *aQuery.mTriedEndpoints;
+  const auto now = aCore.mDependencies.mClock.Now();
   ServiceOutage outage;
   bool isKnown = false;
-  for (const auto& endpoint : aCore.mEndpoints.Listed(aAsk.mService)) {
+  for (const auto& endpoint : aCore.mEndpoints.Listed(aQuery.mService)) {
     if (!endpoint->AcceptsWork()) {
       isKnown = true;
       continue;
     }
     const auto opening =
-      endpoint->UnavailabilityAt(now, IsUrgent(aAsk.mUrgency));
+      endpoint->UnavailabilityAt(now, IsUrgent(aQuery.mUrgency));
     const bool isOpen = opening.mObstacle == Obstacle::kNone;
     const bool isTried =
       std::find(tried.begin(), tried.end(), endpoint->mInfo.mId) != tried.end();
@@ -319,7 +323,7 @@
 bool
 IsServiceDown(Relay::Core& aCore, const std::string& aService)
 {
-  const auto now = aCore.mParts.mClock.Now();
+  const auto now = aCore.mDependencies.mClock.Now();
   const auto serving = aCore.mEndpoints.Serving(aService);
   return std::all_of(
     serving.begin(), serving.end(), [&](const RelayEndpointPtr& aEndpoint) {
--- a/packages/coordination/src/relay_feed.cpp
+++ b/packages/coordination/src/relay_feed.cpp
@@ -1,5 +1,5 @@
-// How a feed follows the store: lists, watches, and the store's loss and
-// return.
+// How a feed follows the store: lists, watches, and the loss and return of the
+// store.
 
 #include "shuntjunction/coordination/relay_feed.h"
 
@@ -19,14 +19,14 @@
 
 namespace {
 
-/// How often lapsed entries are looked at.
+/// Interval at which lapsed entries are looked for.
 constexpr Millis kExpiryInterval{ 500 };
 
-/// Wait of a watch that only asks whether the store is back: it answers at
+/// Wait of a watch that only probes whether the store is back: it answers at
 /// once.
 constexpr Millis kProbeWait{ 1 };
 
-/// Times of trouble at another process that differ by less are the same.
+/// Failure times of another process that differ by less count as the same.
 constexpr Millis kMinFailureGap{ 100 };
 
 } // namespace
@@ -38,7 +38,7 @@
                      const state::Clock& aClock,
                      EventLog& aLog,
                      state::ObjectMirror& aMirror,
-                     Handler aTake)
+                     Handler aOnView)
   : mContext(aContext)
   , mSettings(aSettings)
   , mPlatform(aPlatform)
@@ -46,7 +46,7 @@
   , mClock(aClock)
   , mLog(aLog)
   , mMirror(aMirror)
-  , mTake(std::move(aTake))
+  , mOnView(std::move(aOnView))
   , mConfigTopic(std::make_unique<Topic>())
   , mEndpointTopic(std::make_unique<Topic>())
   , mWeightsTopic(std::make_unique<Topic>())
@@ -61,32 +61,32 @@
 void
 RelayFeed::DescribeTopics()
 {
-  const auto each = [](auto aTake) {
-    return [aTake](const std::vector<RawObject>& aObjects) {
+  const auto each = [](auto aApply) {
+    return [aApply](const std::vector<RawObject>& aObjects) {
       bool isNews = false;
       for (const auto& object : aObjects) {
-        isNews = aTake(object) || isNews;
+        isNews = aApply(object) || isNews;
       }
       return isNews;
     };
   };
-  const auto takeConfig = [this](const RawObject& aObject) {
+  const auto applyConfig = [this](const RawObject& aObject) {
     return ApplyConfig(aObject);
   };
-  const auto takeWeights = [this](const RawObject& aObject) {
+  const auto applyWeights = [this](const RawObject& aObject) {
     return ApplyWeights(aObject);
   };
   mConfigTopic->mPrefix = mCodec.ConfigPrefix();
   mConfigTopic->mWait = mSettings.mConfigWait;
   mConfigTopic->mConfirmsConfig = true;
-  mConfigTopic->mApplyList = each(takeConfig);
-  mConfigTopic->mApplyChange = takeConfig;
+  mConfigTopic->mApplyList = each(applyConfig);
+  mConfigTopic->mApplyChange = applyConfig;
 
   mWeightsTopic->mPrefix = mCodec.WeightsPrefix();
   mWeightsTopic->mWait = mSettings.mListWait;
   mWeightsTopic->mDetectsDeadWatch = true;
-  mWeightsTopic->mApplyList = each(takeWeights);
-  mWeightsTopic->mApplyChange = takeWeights;
+  mWeightsTopic->mApplyList = each(applyWeights);
+  mWeightsTopic->mApplyChange = applyWeights;
 
   mQuarantineTopic->mPrefix = mCodec.QuarantinePrefix();
   mQuarantineTopic->mWait = mSettings.mListWait;
@@ -160,7 +160,8 @@
   }
   mLog.Write(EventLine(kFeedComponent, "watching-ended"));
   mEndpointTopic->mPauseAfterChange = mSettings.mListPause;
-  // It is not kept current any more, and leaves out what it does not name.
+  // It is not kept current any more, and would hide endpoints of services that
+  // it does not contain.
   mView.mConfig = std::make_shared<const state::RelayConfig>();
 }
 
@@ -210,7 +211,7 @@
     list->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
   aTopic.mIsListed = true;
   if (list->mRevision >= aTopic.mRevision) {
-    MergeList(aTopic, *list);
+    ApplyList(aTopic, *list);
   }
   if (aTopic.mConfirmsConfig) {
     mConfirmed.Confirm(askedAt);
@@ -238,11 +239,12 @@
   }
   const auto askedAt = NoteSource(
     answer->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
-  // The list may have been read meanwhile, and know some of them already.
+  // The list may have been read meanwhile, and contain some of the changes
+  // already.
   const auto known = aTopic.mRevision;
   for (const auto& change : answer->mChanges) {
     if (known == after || change.mRevision > known) {
-      MergeChange(aTopic, change);
+      ApplyChange(aTopic, change);
     }
   }
   aTopic.mRevision = std::max(known, answer->mRevision);
@@ -266,12 +268,12 @@
   if (!aSource) {
     return aAskedAt;
   }
-  // Its age is told anew with each answer, some ms more or less.
-  const bool isNew =
-    aSource->mTroubleAt && *aSource->mTroubleAt > mTroubleAt + kMinFailureGap;
+  // Its age is given anew in each answer and varies by some ms.
+  const bool isNew = aSource->mTroubleAt &&
+                     *aSource->mTroubleAt > mLastFailureAt + kMinFailureGap;
   if (isNew) {
-    mTroubleAt = *aSource->mTroubleAt;
-    mDirectory.NoteOutage(mTroubleAt);
+    mLastFailureAt = *aSource->mTroubleAt;
+    mDirectory.NoteOutage(mLastFailureAt);
   }
   return aSource->mAsOf;
 }
@@ -301,9 +303,9 @@
 void
 RelayFeed::NoteCallFailure(Topic& aTopic, const Error& aError)
 {
-  mTroubleAt = mClock.Now();
-  mDirectory.NoteOutage(mTroubleAt);
-  mMirror.NotePlatformFailure(mTroubleAt);
+  mLastFailureAt = mClock.Now();
+  mDirectory.NoteOutage(mLastFailureAt);
+  mMirror.NotePlatformFailure(mLastFailureAt);
   if (std::exchange(aTopic.mIsLost, true)) {
     return;
   }
@@ -342,7 +344,7 @@
 RelayFeed::Publish()
 {
   mView.mEndpoints = KnownEndpoints();
-  mTake(std::make_shared<const RelayView>(mView));
+  mOnView(std::make_shared<const RelayView>(mView));
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_feed_liveness.cpp
+++ b/packages/coordination/src/relay_feed_liveness.cpp
@@ -1,4 +1,4 @@
-// How a feed finds out that a watch is dead: it waits, no call fails, and the
+// How a feed detects a dead watch: the call waits and does not fail, but the
 // store never answers it.
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 
 namespace {
 
-/// Time in which a live watch tells of a change of which another answer told
-/// already; an answer of the store takes 4 ms, under load some ten times that.
+/// Time within which a live watch reports a change that another answer already
+/// showed. The store answers within 4 ms, under load some ten times that.
 constexpr Millis kWatchGrace{ 200 };
 
-/// How often a list that is behind is looked at meanwhile.
+/// Interval at which a list that is behind is checked meanwhile.
 constexpr Millis kCheckPollInterval{ 50 };
 
-/// How often a process that does not watch the configuration looks whether the
-/// store still answers: its own watches wait far longer.
+/// Interval at which a process that does not watch the configuration checks
+/// whether the store still answers: its own watches wait far longer.
 constexpr Millis kStoreCheckInterval{ 3000 };
 
 } // namespace
@@ -44,7 +44,7 @@
 }
 
 bool
-RelayFeed::MergeList(Topic& aTopic, const ObjectList& aList)
+RelayFeed::ApplyList(Topic& aTopic, const ObjectList& aList)
 {
   aTopic.mRevision = aList.mRevision;
   mMirror.MergeList(
@@ -53,7 +53,7 @@
 }
 
 void
-RelayFeed::MergeChange(Topic& aTopic, const state::RawObject& aChange)
+RelayFeed::ApplyChange(Topic& aTopic, const state::RawObject& aChange)
 {
   mMirror.MergeChange(aChange, mClock.Now());
   aTopic.mApplyChange(aChange);
@@ -64,11 +64,12 @@
   }
 }
 
-// A waiting watch that says nothing looks the same whether nothing changed or
-// its answer was lost: such a relay sent to leaving endpoints for up to 20 s.
-// The watch of the configuration returns each second and tells the store's
-// revision, so whatever the other watches keep to themselves is noticed within
-// 1.2 s, at the price of a call for each change that none of them tells.
+// A pending watch without an answer looks the same whether nothing changed or
+// its answer was lost: a relay in that state sent requests to leaving endpoints
+// for up to 20 s. The watch of the configuration returns each second with the
+// store's revision, so a change that another watch fails to report is noticed
+// within 1.2 s, at the cost of one call for each change that none of them
+// reports.
 void
 RelayFeed::CheckLists()
 {
@@ -85,14 +86,14 @@
 Task<void>
 RelayFeed::CheckList(Topic& aTopic)
 {
-  const auto toldAt = mClock.Now();
+  const auto reportedAt = mClock.Now();
   const auto revision = aTopic.mFreshness.Store();
   while (aTopic.mFreshness.Known() < revision) {
-    // Between two calls it waits for nothing, and will ask by itself.
-    const bool isMute =
+    // Between two calls no answer is pending, and the next call follows anyway.
+    const bool isSilent =
       aTopic.mAskedAt &&
-      mClock.Now() - std::max(*aTopic.mAskedAt, toldAt) >= kWatchGrace;
-    if (isMute) {
+      mClock.Now() - std::max(*aTopic.mAskedAt, reportedAt) >= kWatchGrace;
+    if (isSilent) {
       co_await RereadList(aTopic);
       break;
     }
@@ -107,9 +108,9 @@
   auto askedAt = mClock.Now();
   const auto list = co_await mPlatform.List(aTopic.mPrefix);
   if (!list) {
-    // The next answer that tells of a change asks for it again.
-    mTroubleAt = mClock.Now();
-    mDirectory.NoteOutage(mTroubleAt);
+    // The next answer that shows a change triggers another attempt.
+    mLastFailureAt = mClock.Now();
+    mDirectory.NoteOutage(mLastFailureAt);
     mLog.Write(EventLine(kFeedComponent, "list-unread")
                  .Add("objects", aTopic.mPrefix)
                  .Add("error", list.error().Describe()));
@@ -120,7 +121,7 @@
   }
   askedAt = NoteSource(list->mMirrorFreshness, askedAt);
   const auto before = aTopic.mRevision;
-  const bool isNews = MergeList(aTopic, *list);
+  const bool isNews = ApplyList(aTopic, *list);
   aTopic.mFreshness.NoteListRevision(list->mRevision, askedAt);
   UpdateMirror();
   if (!isNews) {
@@ -131,7 +132,7 @@
                .Add("revision", before)
                .Add("listed", list->mRevision));
   Publish();
-  mTroubleAt = mClock.Now();
+  mLastFailureAt = mClock.Now();
   AbandonOldCalls();
 }
 
@@ -141,7 +142,7 @@
   const auto topics = Topics();
   const bool isAny =
     std::any_of(topics.begin(), topics.end(), [&](const Topic* aTopic) {
-      return aTopic->mAskedAt && *aTopic->mAskedAt <= mTroubleAt;
+      return aTopic->mAskedAt && *aTopic->mAskedAt <= mLastFailureAt;
     });
   if (!isAny) {
     return;
@@ -168,14 +169,15 @@
   while (true) {
     co_await transport::Sleep(kStoreCheckInterval);
     if (mWeightsTopic->mIsLost || mIsWatching) {
-      // It asks again by itself, or the configuration's watch tells.
+      // It retries by itself, or the watch of the configuration shows the
+      // change.
       continue;
     }
     const auto list = co_await mPlatform.ListCached(mCodec.WeightsPrefix());
-    // Newer weights the watch should have told: it is not going to.
+    // The watch should have reported newer weights and won't any more.
     if (!list || HasNewerWeights(*list)) {
       areWatchesStale = true;
-      mTroubleAt = mClock.Now();
+      mLastFailureAt = mClock.Now();
     }
     if (list && std::exchange(areWatchesStale, false)) {
       mLog.Write(EventLine(kFeedComponent, "watches-renewed")
--- a/packages/coordination/src/relay_feed_objects.cpp
+++ b/packages/coordination/src/relay_feed_objects.cpp
@@ -1,4 +1,4 @@
-// What a feed takes from the store's objects into its view.
+// How a feed applies the store's objects to its view.
 
 #include <algorithm>
 
@@ -29,11 +29,11 @@
 /// Versions of a model that are remembered; older ones are out of use.
 constexpr std::size_t kMaxVersions = 16;
 
-/// Objects that cannot be read whose last revision is remembered, so that each
-/// is logged once.
+/// Unreadable objects whose last revision is remembered, so that each is logged
+/// once.
 constexpr std::size_t kMaxRefused = 1024;
 
-/// Id of the endpoint that an entry is about.
+/// Id of the endpoint that an entry describes.
 std::string
 IdOf(const RawObject& aObject)
 {
--- a/packages/coordination/src/relay_limits.cpp
+++ b/packages/coordination/src/relay_limits.cpp
@@ -3,7 +3,7 @@
 #include "relay_run.h"
 #include "shuntjunction/state/jittered_pause.h"
 
-// The part of a run that keeps its team's limit.
+// The part of a run that enforces its team's limit.
 
 namespace shuntjunction::coordination {
 
@@ -12,19 +12,19 @@
 
 namespace {
 
-/// How long a share whose companion gives no answer is left out.
+/// Pause before a share whose companion did not answer is asked again.
 constexpr Millis kSilentPause{ 500 };
 
-/// What a share that ran dry should have again before it is asked again.
+/// Usage that an empty share should regain before it is asked again.
 constexpr double kUsageBeforeRetry = 1000;
-constexpr Millis kLeastPause{ 50 };
-constexpr Millis kMostPause{ 250 };
+constexpr Millis kMinPause{ 50 };
+constexpr Millis kMaxPause{ 250 };
 
-/// How long a caller whose team is over its limit is told to stay away.
-constexpr Millis kLeastReturn{ 300 };
-constexpr Millis kMostReturn{ 2000 };
+/// Range of the Retry-After of a caller whose team is over its limit.
+constexpr Millis kMinRetryAfter{ 300 };
+constexpr Millis kMaxRetryAfter{ 2000 };
 
-/// How long a share that ran dry is left out.
+/// Pause before an empty share is asked again.
 Millis
 EmptySharePause(const state::UsageLimit& aLimit)
 {
@@ -34,8 +34,8 @@
   const double pause = kUsageBeforeRetry / perSecond * kMillisPerSecond;
   return Millis(static_cast<std::int64_t>(
     std::clamp(pause,
-               static_cast<double>(kLeastPause.count()),
-               static_cast<double>(kMostPause.count()))));
+               static_cast<double>(kMinPause.count()),
+               static_cast<double>(kMaxPause.count()))));
 }
 
 } // namespace
@@ -67,12 +67,12 @@
   UsageReservation answer;
   while (mInterrupt == RunInterrupt::kNone) {
     answer = co_await RequestUsage(amount);
-    if (answer.mHeld >= amount) {
+    if (answer.mReserved >= amount) {
       co_return true;
     }
     ReleaseUsage();
-    // With no companion in reach nothing is known of the limit. After a return
-    // of everything they come one after the other, and one is enough.
+    // While no companion is reachable, nothing is known of the limit. After a
+    // total outage they come back one after the other, and one is enough.
     if (answer.mAsked > 0 || Now() >= until) {
       break;
     }
@@ -82,7 +82,8 @@
     mIsOverLimit = answer.mAsked > 0;
     mLastProblem = mIsOverLimit ? "over-limit" : "limit-unknown";
     mRetryAfter = state::JitteredPause(
-      std::clamp(answer.mRefill, kLeastReturn, kMostReturn), mCore->mRandom);
+      std::clamp(answer.mRefill, kMinRetryAfter, kMaxRetryAfter),
+      mCore->mRandom);
     LogLimit(answer, amount);
   }
   co_return false;
@@ -93,11 +94,11 @@
 {
   UsageReservation answer;
   auto& shares = mCore->mShares;
-  const auto& ask = mCore->mParts.mRequestShare;
+  const auto& requestShare = mCore->mDependencies.mRequestShare;
   const auto sources = shares.SourcesOf(state::HashOfTeam(mTeam->mName),
-                                        mCore->mParts.mSettings.mZone);
+                                        mCore->mDependencies.mSettings.mZone);
   for (const auto& source : sources) {
-    if (answer.mHeld >= aAmount || mInterrupt != RunInterrupt::kNone) {
+    if (answer.mReserved >= aAmount || mInterrupt != RunInterrupt::kNone) {
       break;
     }
     const auto known = shares.StateOf(source.mKey, Now());
@@ -105,18 +106,18 @@
       ++(known == state::ShareState::kEmpty ? answer.mAsked : answer.mSilent);
       continue;
     }
-    const state::ShareAsk question{ source.mKey,
-                                    mTeam->mLimit,
-                                    mView->mConfig->Version(),
-                                    aAmount - answer.mHeld };
+    const state::ShareAsk request{ source.mKey,
+                                   mTeam->mLimit,
+                                   mView->mConfig->Version(),
+                                   aAmount - answer.mReserved };
     const auto askedAt = Now();
     std::optional<state::ShareGrant> grant;
-    if (ask) {
-      grant = co_await ask(source.mHost, question);
+    if (requestShare) {
+      grant = co_await requestShare(source.mHost, request);
     }
     if (!grant) {
       ++answer.mSilent;
-      // One that is not connected costs nothing to ask again.
+      // A companion that is not connected costs nothing to ask again.
       if (Now() - askedAt >= kPollInterval) {
         shares.Exclude(
           source.mKey, state::ShareState::kSilent, Now() + kSilentPause);
@@ -126,9 +127,9 @@
     ++answer.mAsked;
     if (grant->mAmount > 0) {
       mReservedUsage.push_back({ source, grant->mAmount });
-      answer.mHeld += grant->mAmount;
+      answer.mReserved += grant->mAmount;
     }
-    if (grant->mAmount < question.mAmount) {
+    if (grant->mAmount < request.mAmount) {
       shares.Exclude(source.mKey,
                      state::ShareState::kEmpty,
                      Now() + EmptySharePause(mTeam->mLimit));
@@ -141,10 +142,11 @@
 void
 RelayRun::ReleaseUsage()
 {
-  const auto& giveBack = mCore->mParts.mReturnShare;
-  for (const auto& held : mReservedUsage) {
-    if (giveBack) {
-      giveBack(held.mSource.mHost, { held.mSource.mKey, held.mAmount });
+  const auto& returnShare = mCore->mDependencies.mReturnShare;
+  for (const auto& reserved : mReservedUsage) {
+    if (returnShare) {
+      returnShare(reserved.mSource.mHost,
+                  { reserved.mSource.mKey, reserved.mAmount });
     }
   }
   mReservedUsage.clear();
@@ -175,7 +177,7 @@
 void
 RelayRun::LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount)
 {
-  mCore->mParts.mLog.Write(
+  mCore->mDependencies.mLog.Write(
     EventLine(kRelayComponent, "limit", mCall.mRequestId)
       .Add("outcome", mLastProblem)
       .Add("team", mTeam->mName)
@@ -184,13 +186,14 @@
       .Add("burst", mTeam->mLimit.mBurst)
       .Add("config", mView->mConfig->Version())
       .Add("wanted", aAmount)
-      .Add("got", aAnswer.mHeld)
+      .Add("got", aAnswer.mReserved)
       .Add("shares_asked", aAnswer.mAsked)
       .Add("shares_silent", aAnswer.mSilent)
       .Add("refill_ms", aAnswer.mRefill.count())
       .Add("retry_after_ms", mRetryAfter.count()));
-  mCore->mParts.mMetrics.Count("shuntjunction_relay_limit_refusals_total",
-                               { { "outcome", mLastProblem } });
+  mCore->mDependencies.mMetrics.Count(
+    "shuntjunction_relay_limit_refusals_total",
+    { { "outcome", mLastProblem } });
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_notices.cpp
+++ b/packages/coordination/src/relay_notices.cpp
@@ -7,20 +7,21 @@
 using state::Millis;
 using state::Obstacle;
 
-RelayNotices::RelayNotices(const RelayDependencies& aParts)
-  : mParts(aParts)
+RelayNotices::RelayNotices(const RelayDependencies& aDependencies)
+  : mDependencies(aDependencies)
 {
 }
 
 void
-RelayNotices::Take(RelayEndpoint& aEndpoint,
-                   const state::EndpointNotice& aNotice,
-                   std::string_view aRequestId)
+RelayNotices::Apply(RelayEndpoint& aEndpoint,
+                    const state::EndpointNotice& aNotice,
+                    std::string_view aRequestId)
 {
   if (aNotice.mRetryAfter.mForm == state::RetryAfterForm::kUnreadable) {
-    mParts.mMetrics.Count("shuntjunction_relay_unreadable_retry_after_total");
+    mDependencies.mMetrics.Count(
+      "shuntjunction_relay_unreadable_retry_after_total");
   }
-  const auto& clock = mParts.mClock;
+  const auto& clock = mDependencies.mClock;
   const auto change =
     aEndpoint.mAvailability->Take(aNotice, clock.Now(), clock.WallMillis());
   if (!change.mIsDraining && change.mCooldown == Millis(0)) {
@@ -30,22 +31,23 @@
     aEndpoint.CloseIdle();
   }
   const std::string_view what = change.mIsDraining ? "draining" : "cooldown";
-  mParts.mMetrics.Count("shuntjunction_relay_notices_total",
-                        { { "service", aEndpoint.mInfo.mService },
-                          { "notice", std::string(what) } });
-  mParts.mLog.Write(EventLine(kRelayComponent, "endpoint-notice", aRequestId)
-                      .Add("notice", what)
-                      .Add("endpoint", aEndpoint.mInfo.mId)
-                      .Add("service", aEndpoint.mInfo.mService)
-                      .Add("cooldown_ms", change.mCooldown.count())
-                      .Add("running", aEndpoint.mRunning)
-                      .Add("listed", aEndpoint.mInfo.mRevision));
+  mDependencies.mMetrics.Count("shuntjunction_relay_notices_total",
+                               { { "service", aEndpoint.mInfo.mService },
+                                 { "notice", std::string(what) } });
+  mDependencies.mLog.Write(
+    EventLine(kRelayComponent, "endpoint-notice", aRequestId)
+      .Add("notice", what)
+      .Add("endpoint", aEndpoint.mInfo.mId)
+      .Add("service", aEndpoint.mInfo.mService)
+      .Add("cooldown_ms", change.mCooldown.count())
+      .Add("running", aEndpoint.mRunning)
+      .Add("listed", aEndpoint.mInfo.mRevision));
 }
 
 void
 RelayNotices::CountWithheld(const RelayEndpoint& aEndpoint, Obstacle aObstacle)
 {
-  mParts.mMetrics.Count(
+  mDependencies.mMetrics.Count(
     "shuntjunction_relay_sends_withheld_total",
     { { "service", aEndpoint.mInfo.mService },
       { "obstacle", std::string(state::kObstacleNames.Name(aObstacle)) } });
@@ -54,7 +56,7 @@
 void
 RelayNotices::CountRefused(const std::string& aService, Obstacle aObstacle)
 {
-  mParts.mMetrics.Count(
+  mDependencies.mMetrics.Count(
     "shuntjunction_relay_unavailable_refusals_total",
     { { "service", aService },
       { "obstacle", std::string(state::kObstacleNames.Name(aObstacle)) } });
--- a/packages/coordination/src/relay_notices.h
+++ b/packages/coordination/src/relay_notices.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Private to coordination: what answers advertise of their endpoints.
+// Private to coordination: drains and cooldowns that answers advertise.
 
 #include <string_view>
 
@@ -9,30 +9,31 @@
 
 namespace shuntjunction::coordination {
 
-/// Applies what each answer advertises, whichever request it answers.
+/// Applies what each answer advertises of its endpoint, whichever request it
+/// answers.
 ///
 /// Thread safety: none; owned by the traffic thread.
 class RelayNotices
 {
 public:
-  /// @param aParts  outlive this
-  explicit RelayNotices(const RelayDependencies& aParts);
+  /// @param aDependencies  outlive this object
+  explicit RelayNotices(const RelayDependencies& aDependencies);
 
-  /// Takes that an answer reports a drain, or asks for a cooldown.
+  /// Applies an answer's report of a drain or request for a cooldown.
   ///
-  /// @param aRequestId  of the request that got it, for the log
-  void Take(RelayEndpoint& aEndpoint,
-            const state::EndpointNotice& aNotice,
-            std::string_view aRequestId);
+  /// @param aRequestId  of the request that was answered, for the log
+  void Apply(RelayEndpoint& aEndpoint,
+             const state::EndpointNotice& aNotice,
+             std::string_view aRequestId);
 
   /// Counts a request that was not sent after its endpoint had been chosen.
   void CountWithheld(const RelayEndpoint& aEndpoint, state::Obstacle aObstacle);
 
-  /// Counts a request that is refused since its whole service is unavailable.
+  /// Counts a request that is refused because its whole service is unavailable.
   void CountRefused(const std::string& aService, state::Obstacle aObstacle);
 
 private:
-  const RelayDependencies& mParts;
+  const RelayDependencies& mDependencies;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_permits.cpp
+++ b/packages/coordination/src/relay_permits.cpp
@@ -1,7 +1,8 @@
 #include "relay_run.h"
 #include "shuntjunction/state/jittered_pause.h"
 
-// The part of a run that keeps to what endpoints advertise.
+// The part of a run that respects the rates, drains and cooldowns that
+// endpoints advertise.
 
 namespace shuntjunction::coordination {
 
@@ -10,40 +11,42 @@
 
 namespace {
 
-/// Callers that an outage turned away come back within this after its end.
+/// Callers that were refused in an outage come back spread over this time after
+/// its end.
 constexpr Millis kRetryAfterSpread{ 500 };
 
 } // namespace
 
 Task<bool>
-RelayRun::AcquirePermit(const EndpointChoice& aPick)
+RelayRun::AcquirePermit(const EndpointChoice& aChoice)
 {
-  if (!aPick.mEndpoint->mRate) {
+  if (!aChoice.mEndpoint->mRate) {
     co_return true;
   }
-  mPlace = co_await mCore->mRates.Ask(aPick.mEndpoint, IsUrgent(Urgency()));
-  co_return mPlace.has_value();
+  mPermit =
+    co_await mCore->mRates.Request(aChoice.mEndpoint, IsUrgent(Urgency()));
+  co_return mPermit.has_value();
 }
 
 bool
 RelayRun::HasPermitFor(const RelayEndpointPtr& aEndpoint) const
 {
-  return mPlace && mPlace->mEndpoint == aEndpoint;
+  return mPermit && mPermit->mEndpoint == aEndpoint;
 }
 
 void
 RelayRun::ReturnPermit()
 {
-  if (mPlace) {
-    mCore->mRates.Return(*mPlace);
-    mPlace.reset();
+  if (mPermit) {
+    mCore->mRates.Return(*mPermit);
+    mPermit.reset();
   }
 }
 
 bool
-RelayRun::IsUnavailable(const EndpointQuery& aAsk, state::TimePoint aUntil)
+RelayRun::IsUnavailable(const EndpointQuery& aQuery, state::TimePoint aUntil)
 {
-  const auto outage = OutageOf(*mCore, aAsk);
+  const auto outage = OutageOf(*mCore, aQuery);
   if (!outage || (outage->mUntil < aUntil && Now() < aUntil)) {
     return false;
   }
@@ -51,8 +54,8 @@
   switch (outage->mObstacle) {
     case state::Obstacle::kNoPermit:
       mLastProblem = "endpoints-limited";
-      mRetryAfter = mCore->mRates.ReturnAfter(
-        mService, outage->mPerSecond, mCore->Relays());
+      mRetryAfter =
+        mCore->mRates.RetryAfter(mService, outage->mPerSecond, mCore->Relays());
       break;
     case state::Obstacle::kCooldown: {
       const auto left = std::chrono::ceil<Millis>(outage->mReopensAt - Now());
@@ -66,7 +69,7 @@
       mRetryAfter = state::JitteredPause(kRetryAfterOutage, mCore->mRandom);
       break;
     default:
-      // Each endpoint that is open has had this request.
+      // Each available endpoint already got this request.
       mRetryAfter = kRetrySoon;
       break;
   }
