--- a/packages/coordination/src/relay_rates.cpp
+++ b/packages/coordination/src/relay_rates.cpp
@@ -12,54 +12,54 @@
 
 namespace {
 
-/// How long an endpoint is left out whose keeper gives no answer.
+/// Pause of an endpoint whose rate's owner does not answer.
 constexpr Millis kSilentPause{ 250 };
-/// The least time for which one without a place is left out.
-constexpr Millis kLeastPause{ 10 };
+/// Minimum pause of an endpoint without a permit.
+constexpr Millis kMinPause{ 10 };
 
 } // namespace
 
-RelayRates::RelayRates(const RelayDependencies& aParts,
-                       const state::ShareDirectory& aKeepers)
-  : mParts(aParts)
-  , mKeepers(aKeepers)
+RelayRates::RelayRates(const RelayDependencies& aDependencies,
+                       const state::ShareDirectory& aOwners)
+  : mDependencies(aDependencies)
+  , mOwners(aOwners)
 {
 }
 
 void
-RelayRates::Note(RelayEndpoint& aEndpoint,
-                 const EndpointRate& aRate,
-                 const HeldPermit* aPlace)
+RelayRates::NoteRate(RelayEndpoint& aEndpoint,
+                     const EndpointRate& aRate,
+                     const HeldPermit* aPermit)
 {
   if (aRate.mNotice == RateNotice::kUnreadable) {
-    mParts.mMetrics.Count("shuntjunction_relay_unreadable_rates_total");
+    mDependencies.mMetrics.Count("shuntjunction_relay_unreadable_rates_total");
     return;
   }
   const bool isNamed = aRate.mNotice == RateNotice::kNamed;
   if (isNamed) {
-    Set(aEndpoint, aRate.mPerSecond);
+    SetRate(aEndpoint, aRate.mPerSecond);
   }
-  // Without a place, the request may be older than the rate: its answer is no
-  // sign of the rate's end.
-  const bool isEnd = !isNamed && aEndpoint.mRate && aPlace != nullptr;
+  // A request without a permit may have been sent before the rate began: its
+  // answer does not show that the rate ended.
+  const bool isEnd = !isNamed && aEndpoint.mRate && aPermit != nullptr;
   if (!isNamed && !isEnd) {
     return;
   }
-  const auto keeper = KeeperOf(aEndpoint);
-  if (keeper && mParts.mReportRate) {
-    const auto edition = aPlace != nullptr ? aPlace->mRateVersion : 0;
-    mParts.mReportRate(keeper->mHost, { keeper->mName, aRate, edition });
+  const auto owner = OwnerOf(aEndpoint);
+  if (owner && mDependencies.mReportRate) {
+    const auto edition = aPermit != nullptr ? aPermit->mRateVersion : 0;
+    mDependencies.mReportRate(owner->mHost, { owner->mName, aRate, edition });
   }
 }
 
 void
 RelayRates::ApplyNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews)
 {
-  Set(aEndpoint, aNews.mPerSecond);
+  SetRate(aEndpoint, aNews.mPerSecond);
 }
 
 void
-RelayRates::Set(RelayEndpoint& aEndpoint, std::optional<double> aPerSecond)
+RelayRates::SetRate(RelayEndpoint& aEndpoint, std::optional<double> aPerSecond)
 {
   auto& rate = aEndpoint.mRate;
   if (!aPerSecond) {
@@ -78,39 +78,38 @@
     rate.emplace();
   }
   rate->mPerSecond = *aPerSecond;
-  rate->mHeardAt = mParts.mClock.Now();
+  rate->mHeardAt = mDependencies.mClock.Now();
   if (isNew) {
     LogUse(aEndpoint, "named");
   }
 }
 
 Task<std::optional<HeldPermit>>
-RelayRates::Ask(RelayEndpointPtr aEndpoint, bool aIsUrgent)
+RelayRates::Request(RelayEndpointPtr aEndpoint, bool aIsUrgent)
 {
-  const auto keeper = KeeperOf(*aEndpoint);
-  aEndpoint->mRate->mHeardAt = mParts.mClock.Now();
+  const auto owner = OwnerOf(*aEndpoint);
+  aEndpoint->mRate->mHeardAt = mDependencies.mClock.Now();
   std::optional<state::PlaceGrant> grant;
-  if (keeper && mParts.mRequestPermit) {
-    grant = co_await mParts.mRequestPermit(
-      keeper->mHost,
-      { keeper->mName, aEndpoint->mRate->mPerSecond, aIsUrgent });
+  if (owner && mDependencies.mRequestPermit) {
+    grant = co_await mDependencies.mRequestPermit(
+      owner->mHost, { owner->mName, aEndpoint->mRate->mPerSecond, aIsUrgent });
   }
   const bool isGiven = grant && grant->mIsGiven;
-  mParts.mMetrics.Count(
+  mDependencies.mMetrics.Count(
     "shuntjunction_relay_places_total",
     { { "outcome", !grant ? "silent" : (isGiven ? "given" : "none") } });
   if (isGiven) {
     co_return HeldPermit{
-      std::move(aEndpoint), keeper->mHost, keeper->mName, grant->mRateVersion
+      std::move(aEndpoint), owner->mHost, owner->mName, grant->mRateVersion
     };
   }
-  // It may have ended while its keeper was asked.
+  // The rate may have ended while its owner was asked.
   if (aEndpoint->mRate) {
     auto& rate = *aEndpoint->mRate;
     ++rate.mWithoutPermit;
     const auto pause =
-      grant ? std::max(grant->mRefill, kLeastPause) : kSilentPause;
-    const auto until = mParts.mClock.Now() + pause;
+      grant ? std::max(grant->mRefill, kMinPause) : kSilentPause;
+    const auto until = mDependencies.mClock.Now() + pause;
     rate.mPermitAt = std::max(rate.mPermitAt, until);
     if (aIsUrgent) {
       rate.mUrgentPermitAt = std::max(rate.mUrgentPermitAt, until);
@@ -120,45 +119,45 @@
 }
 
 void
-RelayRates::Return(const HeldPermit& aPlace)
+RelayRates::Return(const HeldPermit& aPermit)
 {
-  if (mParts.mReturnPermit) {
-    mParts.mReturnPermit(aPlace.mKeeper, aPlace.mName.mHash);
+  if (mDependencies.mReturnPermit) {
+    mDependencies.mReturnPermit(aPermit.mOwner, aPermit.mName.mHash);
   }
 }
 
 Millis
-RelayRates::ReturnAfter(const std::string& aService,
-                        double aPerSecond,
-                        double aRelays)
+RelayRates::RetryAfter(const std::string& aService,
+                       double aPerSecond,
+                       double aRelays)
 {
-  mParts.mMetrics.Count("shuntjunction_relay_limited_refusals_total",
-                        { { "service", aService } });
+  mDependencies.mMetrics.Count("shuntjunction_relay_limited_refusals_total",
+                               { { "service", aService } });
   constexpr double kMinRate = 0.1;
-  return mReturnSchedules[aService].Next(std::max(aPerSecond, kMinRate),
-                                         std::max(aRelays, 1.0),
-                                         mParts.mClock.Now());
+  return mRetrySchedules[aService].Next(std::max(aPerSecond, kMinRate),
+                                        std::max(aRelays, 1.0),
+                                        mDependencies.mClock.Now());
 }
 
 void
 RelayRates::LogUse(RelayEndpoint& aEndpoint, std::string_view aWhat)
 {
   auto& rate = *aEndpoint.mRate;
-  const auto keeper = KeeperOf(aEndpoint);
-  mParts.mLog.Write(
+  const auto owner = OwnerOf(aEndpoint);
+  mDependencies.mLog.Write(
     EventLine(kRelayComponent, "endpoint-limit")
       .Add("what", aWhat)
       .Add("endpoint", aEndpoint.mInfo.mId)
       .Add("service", aEndpoint.mInfo.mService)
-      .Add("hash", keeper ? keeper->mName.mHash : 0)
-      .Add("keeper", keeper ? keeper->mHost : std::string())
+      .Add("hash", owner ? owner->mName.mHash : 0)
+      .Add("keeper", owner ? owner->mHost : std::string())
       .Add("per_second", rate.mPerSecond)
       .Add("sent", std::exchange(rate.mSent, 0))
       .Add("without_place", std::exchange(rate.mWithoutPermit, 0)));
 }
 
-std::optional<RelayRates::Keeper>
-RelayRates::KeeperOf(const RelayEndpoint& aEndpoint) const
+std::optional<RelayRates::Owner>
+RelayRates::OwnerOf(const RelayEndpoint& aEndpoint) const
 {
   const auto address = state::ParseAddress(aEndpoint.mInfo.mAddress);
   if (!address) {
@@ -166,11 +165,11 @@
   }
   const auto hash = state::HashOfIncarnation(
     aEndpoint.mInfo.mId, aEndpoint.mEndpointIncarnation.Current());
-  const auto keeper = mKeepers.OwnerOfEndpoint(address->mHost, hash);
-  if (!keeper) {
+  const auto owner = mOwners.OwnerOfEndpoint(address->mHost, hash);
+  if (!owner) {
     return std::nullopt;
   }
-  return Keeper{ keeper->mHost, { hash, keeper->mIsOnSameHost } };
+  return Owner{ owner->mHost, { hash, owner->mIsOnSameHost } };
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_rates.h
+++ b/packages/coordination/src/relay_rates.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Private to coordination: the rates that endpoints name, and a relay's places.
+// Private to coordination: the rates that endpoints advertise, and a relay's
+// permits.
 
 #include <map>
 #include <string>
@@ -12,67 +13,69 @@
 
 namespace shuntjunction::coordination {
 
-/// Leave to send one request to an endpoint that names a rate.
+/// Permit to send one request to an endpoint that advertises a rate.
 struct HeldPermit
 {
   RelayEndpointPtr mEndpoint;
-  std::string mKeeper; ///< host of the companion that gave it
+  std::string mOwner; ///< host of the companion that granted it
   state::LimitedEndpoint mName;
   std::uint32_t mRateVersion = 0; ///< see state::RateReport
 };
 
-/// What one relay knows of endpoints' rates, and its way to their keepers.
+/// A relay's knowledge of endpoints' rates, and its access to their owners: the
+/// companions that grant the permits.
 ///
 /// Thread safety: none; owned by the traffic thread.
 class RelayRates
 {
 public:
-  /// @param aParts, aKeepers  outlive this
-  RelayRates(const RelayDependencies& aParts,
-             const state::ShareDirectory& aKeepers);
+  /// @param aDependencies, aOwners  outlive this object
+  RelayRates(const RelayDependencies& aDependencies,
+             const state::ShareDirectory& aOwners);
 
-  /// Takes what an endpoint's answer says, and reports it to the rate's keeper.
+  /// Applies the rate in an endpoint's answer, and reports it to the rate's
+  /// owner.
   ///
-  /// @param aPlace  with which the request was sent; null: with none
-  void Note(RelayEndpoint& aEndpoint,
-            const state::EndpointRate& aRate,
-            const HeldPermit* aPlace);
+  /// @param aPermit  with which the request was sent; null: with none
+  void NoteRate(RelayEndpoint& aEndpoint,
+                const state::EndpointRate& aRate,
+                const HeldPermit* aPermit);
 
-  /// Takes what a keeper tells of an endpoint's rate.
+  /// Applies an owner's report of an endpoint's rate.
   void ApplyNews(RelayEndpoint& aEndpoint, const state::RateNews& aNews);
 
-  /// Asks for a place at an endpoint that names a rate; empty: there is none
-  /// now, or nobody who could give one.
-  transport::Task<std::optional<HeldPermit>> Ask(RelayEndpointPtr aEndpoint,
-                                                 bool aIsUrgent);
+  /// Requests a permit for an endpoint that advertises a rate; empty when there
+  /// is none now, or no owner that could grant one.
+  transport::Task<std::optional<HeldPermit>> Request(RelayEndpointPtr aEndpoint,
+                                                     bool aIsUrgent);
 
-  /// Gives back a place whose request was not sent.
-  void Return(const HeldPermit& aPlace);
+  /// Returns a permit whose request was not sent.
+  void Return(const HeldPermit& aPermit);
 
-  /// When a caller may come back that found no place at any endpoint.
+  /// When a caller may retry that found no permit at any endpoint.
   ///
-  /// @param aPerSecond  that all endpoints of the service take together
-  /// @param aRelays  that refuse alike
-  state::Millis ReturnAfter(const std::string& aService,
-                            double aPerSecond,
-                            double aRelays);
+  /// @param aPerSecond  accepted by all endpoints of the service together
+  /// @param aRelays  number of relays that refuse in the same way
+  state::Millis RetryAfter(const std::string& aService,
+                           double aPerSecond,
+                           double aRelays);
 
-  /// Writes what became of requests for an endpoint since the last line.
+  /// Logs what became of requests for an endpoint since the last line.
   void LogUse(RelayEndpoint& aEndpoint, std::string_view aWhat);
 
 private:
-  struct Keeper
+  struct Owner
   {
     std::string mHost;
     state::LimitedEndpoint mName;
   };
 
-  std::optional<Keeper> KeeperOf(const RelayEndpoint& aEndpoint) const;
-  void Set(RelayEndpoint& aEndpoint, std::optional<double> aPerSecond);
+  std::optional<Owner> OwnerOf(const RelayEndpoint& aEndpoint) const;
+  void SetRate(RelayEndpoint& aEndpoint, std::optional<double> aPerSecond);
 
-  const RelayDependencies& mParts;
-  const state::ShareDirectory& mKeepers;
-  std::map<std::string, state::RetrySchedule> mReturnSchedules; ///< by service
+  const RelayDependencies& mDependencies;
+  const state::ShareDirectory& mOwners;
+  std::map<std::string, state::RetrySchedule> mRetrySchedules; ///< by service
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_reply.cpp
+++ b/packages/coordination/src/relay_reply.cpp
@@ -6,7 +6,7 @@
 
 #include "relay_run.h"
 
-// The part of a run that answers a caller itself, and writes to it.
+// The part of a run that answers the caller itself, and writes to it.
 
 namespace shuntjunction::coordination {
 
@@ -26,7 +26,7 @@
 RelayRun::AnswerFailure()
 {
   if (mInterrupt == RunInterrupt::kCallerGone) {
-    mIsKept = false;
+    mKeepsConnection = false;
     LogOutcome("caller-gone", mLastProblem);
     co_return;
   }
@@ -43,7 +43,7 @@
     co_return;
   }
   if (!mSavedFailure.empty()) {
-    // No other endpoint did better: the answer is the endpoint's own.
+    // No other endpoint did better: return the saved failure of the first.
     mAnswerStatus = mSavedFailureStatus;
     co_await WriteToCaller(std::exchange(mSavedFailure, {}));
     LogOutcome("answered", mLastProblem);
@@ -70,7 +70,7 @@
                      std::string(aReason) +
                      "\r\nContent-Type: application/json\r\nContent-Length: " +
                      std::to_string(body.size()) + "\r\n";
-  mCore->mParts.mCodec.AppendRequestId(mCall.mRequestId, text);
+  mCore->mDependencies.mCodec.AppendRequestId(mCall.mRequestId, text);
   if (aRetryAfter) {
     constexpr double kMillisPerSecond = 1000.0;
     std::array<char, 16> seconds{};
@@ -93,7 +93,7 @@
 void
 RelayRun::AppendConnectionField(std::string& aHeader) const
 {
-  if (!mIsKept || mCore->mIsStopping) {
+  if (!mKeepsConnection || mCore->mIsStopping) {
     aHeader += "Connection: close\r\n";
   }
 }
@@ -101,7 +101,7 @@
 void
 RelayRun::CloseCallerConnection()
 {
-  mIsKept = false;
+  mKeepsConnection = false;
   mCaller.Close(true);
 }
 
@@ -109,13 +109,13 @@
 RelayRun::WriteToCaller(std::string aBytes)
 {
   if (mCaller.IsClosed()) {
-    mIsKept = false;
+    mKeepsConnection = false;
     co_return false;
   }
   const auto [error, bytes] = co_await boost::asio::async_write(
     mCaller.Socket(), boost::asio::buffer(aBytes), transport::kAsTuple);
   if (error) {
-    mIsKept = false;
+    mKeepsConnection = false;
     Interrupt(RunInterrupt::kCallerGone);
     co_return false;
   }
--- a/packages/coordination/src/relay_run.cpp
+++ b/packages/coordination/src/relay_run.cpp
@@ -21,24 +21,24 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kFirstServerError = 500;
 
-/// How long a caller stays away when no configuration was read yet: the store
-/// cannot be reached.
+/// Retry-After when no configuration was read yet: the store is unreachable.
 constexpr Millis kRetryLater{ 1000 };
-/// The same when keys were not confirmed in time: most often this relay alone
-/// is cut off from the store, and another, which a new connection reaches,
-/// serves at once.
+/// The same when keys were not confirmed in time: most often only this relay is
+/// cut off from the store, and another, which a new connection reaches, serves
+/// at once.
 constexpr Millis kRetryElsewhere{ 50 };
 
-/// The same when this relay has more work than it can answer: in that time it
-/// answers what it took before, and others may have room.
+/// The same when this relay is overloaded: meanwhile it answers what it
+/// accepted before, and others may have capacity.
 constexpr Millis kRetryOverload{ 600 };
 
-/// Endpoints that could not be reached before a request is given up: trying
-/// them one after the other costs a connection timeout each.
+/// Unreachable endpoints after which a request is given up: trying them one
+/// after the other costs a connection timeout each.
 constexpr int kMaxUnsentTries = 3;
 
 /// Endpoints that may crash under one try of a caller. The third would be the
-/// last that its request may ever crash: that trial is its caller's to make.
+/// last that its request may ever crash; whether to risk that is left to the
+/// caller.
 constexpr int kMaxCrashesPerRun = 2;
 
 } // namespace
@@ -52,8 +52,8 @@
   , mRequest(std::move(aRequest))
   , mArrival(aArrival)
   , mView(mCore->mView)
-  , mCall(mCore->mParts.mCodec.ReadCall(*mRequest))
-  , mIsKept(mRequest->mKeepsAlive)
+  , mCall(mCore->mDependencies.mCodec.ReadCall(*mRequest))
+  , mKeepsConnection(mRequest->mKeepsAlive)
 {
 }
 
@@ -90,7 +90,7 @@
     mCaller.OnClosed(nullptr);
     mDeadlineTimer->cancel();
   }
-  co_return mIsKept && !mCore->mIsStopping && !mCaller.IsClosed();
+  co_return mKeepsConnection && !mCore->mIsStopping && !mCaller.IsClosed();
 }
 
 // Admission.
@@ -182,10 +182,10 @@
   const auto limit =
     std::min(mRoute->mTimeout, mCall.mDeadline.value_or(mRoute->mTimeout));
   mDeadline = mArrival + limit;
-  mDeadlineTimer =
-    std::make_shared<transport::Timer>(mCore->mParts.mContext, mDeadline);
-  // Cancelled before the run ends, but a timer that ran out already still
-  // calls: the token says whether the run is there.
+  mDeadlineTimer = std::make_shared<transport::Timer>(
+    mCore->mDependencies.mContext, mDeadline);
+  // Cancelled before the run ends, but an expired timer may still call back:
+  // the token tells whether the run still exists.
   mDeadlineTimer->async_wait(
     [this, alive = std::weak_ptr(mDeadlineTimer)](const auto& aError) {
       if (!aError && !alive.expired()) {
@@ -222,28 +222,28 @@
     if (!co_await ReserveUsage()) {
       break;
     }
-    auto pick = co_await Pick();
-    if (!pick) {
+    auto choice = co_await SelectEndpoint();
+    if (!choice) {
       break;
     }
-    if (ShouldShed(*pick)) {
-      SetOverloadRefusal(*pick);
+    if (ShouldShed(*choice)) {
+      SetOverloadRefusal(*choice);
       break;
     }
-    co_await WaitForPart(*pick);
-    const bool mayBeSent = co_await AcquirePermit(*pick);
+    co_await WaitForPart(*choice);
+    const bool mayBeSent = co_await AcquirePermit(*choice);
     if (mInterrupt != RunInterrupt::kNone) {
       break;
     }
     if (!mayBeSent) {
       continue;
     }
-    const auto outcome = co_await Try(*pick);
+    const auto outcome = co_await TryEndpoint(*choice);
     ReturnPermit();
     CommitUsage(outcome);
-    NoteOutcome(*pick, outcome);
+    NoteOutcome(*choice, outcome);
     if (outcome == AttemptOutcome::kBroken) {
-      co_await CheckForCrash(*pick);
+      co_await CheckForCrash(*choice);
     }
     if (outcome == AttemptOutcome::kDone) {
       co_return;
@@ -265,35 +265,35 @@
 EndpointQuery
 RelayRun::MakeEndpointQuery() const
 {
-  EndpointQuery ask{ mService,
-                     &mCall,
-                     mTeam != nullptr && mTeam->mIsIsolated
-                       ? std::string_view(mTeam->mName)
-                       : std::string_view(),
-                     &mTriedEndpoints,
-                     Urgency(),
-                     SinceArrival(),
-                     mRoute->mObjective,
-                     {} };
+  EndpointQuery query{ mService,
+                       &mCall,
+                       mTeam != nullptr && mTeam->mIsIsolated
+                         ? std::string_view(mTeam->mName)
+                         : std::string_view(),
+                       &mTriedEndpoints,
+                       Urgency(),
+                       SinceArrival(),
+                       mRoute->mObjective,
+                       {} };
   if (mCore->mCrashes.Crashes(mDigest) > 0) {
-    ask.mCrashSuspectHash = state::PlacementHash(mDigest.Text());
+    query.mCrashSuspectHash = state::PlacementHash(mDigest.Text());
   }
-  return ask;
+  return query;
 }
 
 Task<std::optional<EndpointChoice>>
-RelayRun::Pick()
+RelayRun::SelectEndpoint()
 {
   const auto objective = static_cast<double>(mRoute->mObjective.count());
   const auto until =
     mArrival +
     Millis(static_cast<std::int64_t>(objective * mCore->mLimits.mWaitShare));
   while (mInterrupt == RunInterrupt::kNone) {
-    const auto ask = MakeEndpointQuery();
-    if (auto pick = ChooseEndpoint(*mCore, ask)) {
-      co_return pick;
+    const auto query = MakeEndpointQuery();
+    if (auto choice = ChooseEndpoint(*mCore, query)) {
+      co_return choice;
     }
-    if (IsUnavailable(ask, std::min(until, mDeadline))) {
+    if (IsUnavailable(query, std::min(until, mDeadline))) {
       break;
     }
     if (Now() >= until) {
@@ -308,10 +308,10 @@
 }
 
 bool
-RelayRun::ShouldMoveElsewhere(const EndpointChoice& aPick)
+RelayRun::ShouldMoveElsewhere(const EndpointChoice& aChoice)
 {
   const auto& endpoints = mCore->mEndpoints;
-  if (!endpoints.HasStopped(*aPick.mEndpoint, Now()) ||
+  if (!endpoints.HasStopped(*aChoice.mEndpoint, Now()) ||
       !MayRetry(AttemptOutcome::kSilent) ||
       !mCore->BudgetOf(mService).MayRepeat(Now())) {
     return false;
@@ -321,31 +321,31 @@
 }
 
 bool
-RelayRun::ShouldShed(const EndpointChoice& aPick) const
+RelayRun::ShouldShed(const EndpointChoice& aChoice) const
 {
-  return aPick.mIsDeprioritized && mTriedEndpoints.empty() &&
-         aPick.mEndpoint->mLate.IsStalled(Now(), mRoute->mObjective);
+  return aChoice.mIsDeprioritized && mTriedEndpoints.empty() &&
+         aChoice.mEndpoint->mLate.IsStalled(Now(), mRoute->mObjective);
 }
 
 void
-RelayRun::SetOverloadRefusal(const EndpointChoice& aPick)
+RelayRun::SetOverloadRefusal(const EndpointChoice& aChoice)
 {
   std::uniform_real_distribution<double> draw(0.0, 1.0);
   mLastProblem = "overloaded";
-  mRetryAfter =
-    aPick.mEndpoint->mLate.RetryDelay(aPick.mExpected, draw(mCore->mRandom));
+  mRetryAfter = aChoice.mEndpoint->mLate.RetryDelay(aChoice.mExpected,
+                                                    draw(mCore->mRandom));
 }
 
 Task<void>
-RelayRun::WaitForPart(const EndpointChoice& aPick)
+RelayRun::WaitForPart(const EndpointChoice& aChoice)
 {
-  if (aPick.mPart.empty()) {
+  if (aChoice.mPart.empty()) {
     co_return;
   }
   const auto& limits = mCore->mLimits;
   const auto until = Now() + limits.mPartWait;
   while (mInterrupt == RunInterrupt::kNone && Now() < until) {
-    const auto& record = mCore->mLedger.At(aPick.mPartName);
+    const auto& record = mCore->mPartRecords.At(aChoice.mPartName);
     const bool isRead = Now() - record.mPrefillStartedAt < limits.mPartWait &&
                         record.IsPrefilling();
     if (!isRead) {
@@ -362,7 +362,7 @@
       aOutcome == AttemptOutcome::kWithheld) {
     return false;
   }
-  // A stream of which something was passed on may go on elsewhere.
+  // A stream that was forwarded in part may be resumed at another endpoint.
   const bool isResumable = mRoute->mKind == RouteKind::kStream &&
                            mRoute->mIsResumable && !mLastEventId.empty();
   if (mIsHeadForwarded && !isResumable) {
@@ -381,12 +381,12 @@
 }
 
 Task<void>
-RelayRun::CheckForCrash(const EndpointChoice& aPick)
+RelayRun::CheckForCrash(const EndpointChoice& aChoice)
 {
-  const auto endpoint = aPick.mEndpoint;
+  const auto endpoint = aChoice.mEndpoint;
   if (co_await HasCrashed(mCore, endpoint)) {
     ++mCrashes;
-    mCore->mCrashes.Note(mDigest, *endpoint);
+    mCore->mCrashes.NoteCrash(mDigest, *endpoint);
   } else {
     auto& brokenOff = endpoint->mBrokenRequests;
     brokenOff.push_back({ mDigest, Now() });
@@ -399,16 +399,16 @@
 void
 RelayRun::NoteCompleted(unsigned aStatus)
 {
-  // A failure may be told by an endpoint that never began to run it.
+  // An error may come from an endpoint that never began to run the request.
   if (aStatus < kFirstServerError) {
     mCore->mCrashes.NoteCompleted(mDigest);
   }
 }
 
 void
-RelayRun::NoteOutcome(const EndpointChoice& aPick, AttemptOutcome aOutcome)
+RelayRun::NoteOutcome(const EndpointChoice& aChoice, AttemptOutcome aOutcome)
 {
-  auto& endpoint = *aPick.mEndpoint;
+  auto& endpoint = *aChoice.mEndpoint;
   auto& endpoints = mCore->mEndpoints;
   switch (aOutcome) {
     case AttemptOutcome::kDone:
@@ -435,7 +435,7 @@
     case AttemptOutcome::kInterrupted:
       break;
   }
-  LogAttempt(aPick, aOutcome);
+  LogAttempt(aChoice, aOutcome);
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_run.h
+++ b/packages/coordination/src/relay_run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Private to coordination: one request's way through a relay.
+// Private to coordination: the course of one request through a relay.
 
 #include "relay_endpoint_choice.h"
 #include "relay_core.h"
@@ -8,17 +8,17 @@
 
 namespace shuntjunction::coordination {
 
-/// Why a request is refused that endpoints crash under.
+/// Reason for refusing a request under which endpoints crash.
 inline constexpr std::string_view kQuarantinedReason = "quarantined";
 
-/// How long a refused caller is told to stay away.
+/// Retry-After of a refused caller.
 inline constexpr state::Millis kRetrySoon{ 100 };
 
 /// The same when no endpoint of its service answers, or all of them drain: the
-/// time in which one that was started is listed.
+/// time in which a newly started one is listed.
 inline constexpr state::Millis kRetryAfterOutage{ 1500 };
 
-/// How often a request that waits looks again.
+/// Interval at which a waiting request checks again.
 inline constexpr state::Millis kPollInterval{ 15 };
 
 /// Why a run was interrupted.
@@ -30,18 +30,18 @@
   kQuarantined, ///< endpoints crashed under the same request elsewhere
 };
 
-/// What became of one attempt at an endpoint.
+/// Outcome of one attempt at an endpoint.
 enum class AttemptOutcome : std::uint8_t
 {
-  kDone,        ///< the answer was passed on, whole
+  kDone,        ///< the complete answer was forwarded
   kUnsent,      ///< the endpoint could not be reached; nothing was sent
   kWithheld,    ///< nothing was sent, and nothing may be any more
-  kLeft,        ///< nothing was sent: the endpoint takes no work any more
-  kNoPlace,     ///< nothing was sent: the endpoint named a rate meanwhile
-  kCooldown,    ///< nothing was sent: the endpoint wants nothing for a time
-  kNotRun,      ///< the endpoint said that it did not run the request
+  kLeft,        ///< nothing was sent: the endpoint accepts no more work
+  kNoPlace,     ///< nothing was sent: the endpoint advertised a rate meanwhile
+  kCooldown,    ///< nothing was sent: the endpoint asked for a cooldown
+  kNotRun,      ///< the endpoint reported that it did not run the request
   kMisdirected, ///< the endpoint is another, or has other weights
-  kFailed,      ///< the endpoint's own failure, which is kept for the caller
+  kFailed,      ///< the endpoint's own error, which is saved for the caller
   kBroken,      ///< it may have run; the answer is missing or unusable
   kSilent,      ///< the same: nothing shows that the endpoint's machine runs
   kInterrupted, ///< see RunInterrupt
@@ -63,33 +63,33 @@
     "interrupted" }
 };
 
-/// What a relay holds of a share of a team's limit.
+/// Amount that a relay reserved from a share of a team's limit.
 struct ReservedUsage
 {
   state::ShareSource mSource;
   std::uint32_t mAmount = 0;
 };
 
-/// What a team's companions said to the question for its limit.
+/// Result of requesting usage from a team's companions.
 struct UsageReservation
 {
-  int mAsked = 0;  ///< shares whose companions answered, or were known empty
+  int mAsked = 0;  ///< shares whose companions answered, or known empty
   int mSilent = 0; ///< shares whose companions could not be asked
-  std::uint32_t mHeld = 0;
+  std::uint32_t mReserved = 0;
   state::Millis mRefill{ 0 }; ///< until one of them has more
 };
 
-/// How one attempt went on, counted from the request's arrival.
+/// Timing of one attempt, counted from the request's arrival.
 struct AttemptTimes
 {
   std::optional<state::Millis> mSent;  ///< empty: nothing was sent
   std::optional<state::Millis> mFirst; ///< the answer's first bytes
-  state::Millis mLongestPause{ 0 };    ///< between pieces of the answer
+  state::Millis mLongestPause{ 0 };    ///< between chunks of the answer
   state::Millis mLastChunk{ 0 };
 };
 
-/// Serves one request: finds its route and team, chooses endpoints, passes the
-/// answer on.
+/// Serves one request: finds its route and team, chooses endpoints, forwards
+/// the answer.
 ///
 /// Thread safety: none; used on the relay's thread.
 class RelayRun
@@ -101,7 +101,7 @@
            std::shared_ptr<transport::RelayRequest> aRequest,
            state::TimePoint aArrival);
 
-  /// Runs to the end; whether the caller's connection may be kept.
+  /// Runs to the end; returns whether the caller's connection may be kept.
   transport::Task<bool> Run();
 
 private:
@@ -109,106 +109,110 @@
 
   // Admission.
   transport::Task<void> AwaitConfig();
-  /// When a caller that this relay has no time for may come back.
+  /// Retry-After of a caller that this overloaded relay refuses.
   state::Millis SpreadRetryAfter();
   bool FindRoute();
   bool FindTeam();
   std::string SelectService();
   state::RequestDigest DigestOfRequest() const;
-  /// Whether endpoints crash under the request; notes its digest.
+  /// Whether the request is quarantined; sets its digest.
   bool IsQuarantined();
   bool AreKeysStale() const;
 
   // The team's limit.
-  /// Takes from it what the request will use; whether it may be sent.
+  /// Reserves the request's usage from the limit; returns whether the request
+  /// may be sent.
   transport::Task<bool> ReserveUsage();
-  /// Asks the team's companions, one after the other, until enough is held.
+  /// Asks the team's companions, one after the other, until enough is reserved.
   transport::Task<UsageReservation> RequestUsage(std::uint32_t aAmount);
-  /// What the request counts in the unit of its team's limit.
+  /// Usage of the request in the unit of its team's limit.
   std::uint32_t RequestCost() const;
-  /// Gives back what is held and was not used.
+  /// Returns what is reserved and was not used.
   void ReleaseUsage();
-  /// Takes that an endpoint may have run the request: what is held is used.
+  /// Counts the reserved usage as used if an endpoint may have run the request.
   void CommitUsage(AttemptOutcome aOutcome);
   void LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount);
 
   // The endpoint's own limit.
-  /// Whether its endpoint may get the request now, as far as its rate goes.
-  transport::Task<bool> AcquirePermit(const EndpointChoice& aPick);
-  /// Whether the place that is held is one at an endpoint.
+  /// Whether the chosen endpoint may get the request now, as far as its rate
+  /// allows.
+  transport::Task<bool> AcquirePermit(const EndpointChoice& aChoice);
+  /// Whether the permit held is one for this endpoint.
   bool HasPermitFor(const RelayEndpointPtr& aEndpoint) const;
-  /// Gives a place back whose request was not sent.
+  /// Returns a permit whose request was not sent.
   void ReturnPermit();
-  /// Whether no endpoint of the service takes the request until a time; sets
+  /// Whether no endpoint of the service accepts the request until a time; sets
   /// the reason and the Retry-After of its refusal.
-  bool IsUnavailable(const EndpointQuery& aAsk, state::TimePoint aUntil);
+  bool IsUnavailable(const EndpointQuery& aQuery, state::TimePoint aUntil);
 
   // Attempts.
   transport::Task<void> Serve();
   /// Of the team, or of the route; the lowest is the most urgent.
   int Urgency() const;
-  transport::Task<std::optional<EndpointChoice>> Pick();
-  /// What the choice of an endpoint needs to know now.
+  transport::Task<std::optional<EndpointChoice>> SelectEndpoint();
+  /// Input of the choice of an endpoint at this moment.
   EndpointQuery MakeEndpointQuery() const;
   /// Whether the endpoint's machine has stopped, as far as is known, while
   /// another endpoint could take the request.
-  bool ShouldMoveElsewhere(const EndpointChoice& aPick);
-  transport::Task<void> WaitForPart(const EndpointChoice& aPick);
-  /// Whether a request that nobody got yet would wait in vain at its endpoint.
-  bool ShouldShed(const EndpointChoice& aPick) const;
-  /// Notes what its caller is told then.
-  void SetOverloadRefusal(const EndpointChoice& aPick);
-  transport::Task<AttemptOutcome> Try(EndpointChoice aPick);
-  transport::Task<AttemptOutcome> RunAttempt(EndpointChoice aPick);
+  bool ShouldMoveElsewhere(const EndpointChoice& aChoice);
+  transport::Task<void> WaitForPart(const EndpointChoice& aChoice);
+  /// Whether a request that was not sent yet would wait in vain at its
+  /// endpoint.
+  bool ShouldShed(const EndpointChoice& aChoice) const;
+  /// Sets the refusal that its caller gets then.
+  void SetOverloadRefusal(const EndpointChoice& aChoice);
+  transport::Task<AttemptOutcome> TryEndpoint(EndpointChoice aChoice);
+  transport::Task<AttemptOutcome> RunAttempt(EndpointChoice aChoice);
   transport::Task<AttemptOutcome> Connect(Attempt& aAttempt);
-  /// Asks at the last moment whether the endpoint may get the request.
+  /// Checks at the last moment whether the endpoint may get the request.
   tl::expected<state::SendClearance, AttemptOutcome> ClearToSend(
     const Attempt& aAttempt);
-  /// Why the request must not be sent anywhere at this moment; empty: it may
+  /// Why the request must not be sent anywhere at this moment; empty if it may
   /// be.
   std::string_view ReasonToWithhold();
-  /// Gives a connection back on which nothing was sent.
+  /// Returns a connection on which nothing was sent.
   void ReleaseUnused(Attempt& aAttempt);
   void Send(Attempt& aAttempt, state::SendClearance aClearance);
-  /// Takes that the endpoint answered, or that no answer is waited for.
+  /// Records that the endpoint answered, or that no answer is awaited any more.
   void SettleClearance(Attempt& aAttempt, bool aIsAccepted);
-  ForwardingInfo MakeForwardingInfo(const EndpointChoice& aPick) const;
-  void NotePartPrefill(const EndpointChoice& aPick);
-  /// Counts the tokens that an endpoint has to read, and no more.
-  void AddWaiting(const EndpointChoice& aPick);
-  void RemoveWaiting(const EndpointChoice& aPick);
-  /// @param aPart  of which news are wanted; empty: of none
+  ForwardingInfo MakeForwardingInfo(const EndpointChoice& aChoice) const;
+  void NotePartPrefill(const EndpointChoice& aChoice);
+  /// Count the tokens that an endpoint has to prefill, and remove them again.
+  void AddWaiting(const EndpointChoice& aChoice);
+  void RemoveWaiting(const EndpointChoice& aChoice);
+  /// @param aPart  of which updates are wanted; empty: of none
   void ReportWaiting(const RelayEndpoint& aEndpoint, const std::string& aPart);
-  /// Tells the other relays that a part is being read, or was.
-  void AnnouncePartReading(const EndpointChoice& aPick, bool aIsDone);
-  void NoteOutcome(const EndpointChoice& aPick, AttemptOutcome aOutcome);
-  /// Finds out whether an endpoint crashed under the request.
-  transport::Task<void> CheckForCrash(const EndpointChoice& aPick);
-  /// Takes that an endpoint ran the request and is well.
+  /// Tells the other relays that a part is being prefilled, or was.
+  void AnnouncePartReading(const EndpointChoice& aChoice, bool aIsDone);
+  void NoteOutcome(const EndpointChoice& aChoice, AttemptOutcome aOutcome);
+  /// Checks whether an endpoint crashed under the request.
+  transport::Task<void> CheckForCrash(const EndpointChoice& aChoice);
+  /// Records that an endpoint ran the request without a crash.
   void NoteCompleted(unsigned aStatus);
-  void LogSent(const EndpointChoice& aPick);
-  void LogAttempt(const EndpointChoice& aPick, AttemptOutcome aOutcome);
+  void LogSent(const EndpointChoice& aChoice);
+  void LogAttempt(const EndpointChoice& aChoice, AttemptOutcome aOutcome);
   bool MayRetry(AttemptOutcome aOutcome);
   void Finish(Attempt& aAttempt);
 
   // An endpoint's answer.
   transport::Task<AttemptOutcome> ReadAnswer(Attempt& aAttempt);
-  /// Parses what has arrived; empty when more must arrive first.
+  /// Parses the received bytes; empty when more are needed first.
   std::optional<transport::ReadStep> ReadBuffered(Attempt& aAttempt);
-  /// Judges a head when it is whole; an outcome if the answer is not passed on.
+  /// Evaluates a complete head once; an outcome if the answer is not forwarded.
   std::optional<AttemptOutcome> EvaluateHeadOnce(Attempt& aAttempt,
                                                  transport::ReadStep aStep);
-  /// Takes what an answer advertises, whatever becomes of the answer.
+  /// Applies what an answer advertises, whatever becomes of the answer.
   void ApplyNotice(Attempt& aAttempt);
-  /// The same of an answer that came while the run was interrupted.
+  /// The same for an answer that came while the run was interrupted.
   void ApplyUnreadNotice(Attempt& aAttempt);
   void SkipForeignAnswer(Attempt& aAttempt, bool aIsDone);
   std::optional<AttemptOutcome> EvaluateHead(Attempt& aAttempt);
   transport::Task<bool> ForwardBody(Attempt& aAttempt, bool aIsDone);
   transport::Task<bool> ForwardBufferedAnswer(Attempt& aAttempt);
-  /// Whether an endpoint's failure, read whole, is worth a try at another.
+  /// Whether an endpoint's failure, read completely, justifies an attempt at
+  /// another.
   bool ShouldRetryFailure(const Attempt& aAttempt) const;
-  /// Keeps an endpoint's failure for its caller, if no other does better.
+  /// Saves an endpoint's failure for its caller, in case no other does better.
   void SaveFailure(const Attempt& aAttempt);
   std::string BufferedAnswerText(const Attempt& aAttempt) const;
   transport::Task<bool> ForwardStreamChunk(Attempt& aAttempt, bool aIsDone);
@@ -216,7 +220,7 @@
   void HandleAnswerBegun(const Attempt& aAttempt);
   void NoteChunkTime();
 
-  // Answers of the relay's own.
+  // The relay's own answers.
   transport::Task<void> AnswerFailure();
   transport::Task<void> Refuse(unsigned aStatus,
                                std::string_view aReason,
@@ -230,7 +234,7 @@
   void Interrupt(RunInterrupt aReason);
   void ArmDeadline();
   void LogOutcome(std::string_view aOutcome, std::string_view aReason);
-  state::TimePoint Now() const { return mCore->mParts.mClock.Now(); }
+  state::TimePoint Now() const { return mCore->mDependencies.mClock.Now(); }
   state::Millis SinceArrival() const;
 
   std::shared_ptr<Relay::Core> mCore;
@@ -244,26 +248,26 @@
   const state::RouteRule* mRoute = nullptr;
   const state::TeamRule* mTeam = nullptr;
   std::string mService;
-  state::RequestDigest mDigest; ///< of what its caller sent
+  state::RequestDigest mDigest; ///< of the request as its caller sent it
   RunInterrupt mInterrupt = RunInterrupt::kNone;
-  std::shared_ptr<transport::SocketReader> mOpenConnection; ///< to be cut off
+  std::shared_ptr<transport::SocketReader> mOpenConnection; ///< to interrupt
   std::vector<std::string> mTriedEndpoints; ///< endpoints that got the request
   AttemptTimes mTimes;                      ///< of the last attempt
   int mUnsentTries = 0; ///< endpoints that could not be reached
   int mCrashes = 0;     ///< endpoints that crashed under this run
   bool mMayHaveRun = false;
   bool mIsHeadForwarded = false;
-  bool mIsKept = true;
-  std::string mSavedFailure; ///< an endpoint's own, as its caller would get it
+  bool mKeepsConnection = true;
+  std::string mSavedFailure; ///< ready to send to the caller
   unsigned mSavedFailureStatus = 0;
-  std::string mPartialEvent; ///< bytes of an event that is not yet whole
-  std::string mLastEventId;  ///< of the last event passed on
+  std::string mPartialEvent; ///< bytes of an incomplete event
+  std::string mLastEventId;  ///< of the last event forwarded
   unsigned mAnswerStatus = 0;
   std::string mLastProblem;
   state::Millis mRetryAfter = kRetrySoon;    ///< if it is refused unserved
   std::vector<ReservedUsage> mReservedUsage; ///< of the team's limit
-  std::optional<HeldPermit> mPlace; ///< at the endpoint, if it names a rate
-  bool mIsOverLimit = false;        ///< the team has used its limit up
+  std::optional<HeldPermit> mPermit; ///< if the endpoint advertises a rate
+  bool mIsOverLimit = false;         ///< the team has used up its limit
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_run_log.cpp
+++ b/packages/coordination/src/relay_run_log.cpp
@@ -1,38 +1,38 @@
 #include "relay_run.h"
 
-// The log lines of a run: what was sent where and on what belief, what became
-// of it, how the request ended.
+// The log lines of a run: what was sent where and on which information, the
+// outcome of each attempt, and how the request ended.
 
 namespace shuntjunction::coordination {
 
 void
-RelayRun::LogSent(const EndpointChoice& aPick)
+RelayRun::LogSent(const EndpointChoice& aChoice)
 {
-  // An attempt's own line is written at its end: only this one tells what a
-  // process that was killed had sent where.
+  // The line of an attempt is written at its end: only this one shows where a
+  // process that was killed had sent requests.
   EventLine line(kRelayComponent, "sent", mCall.mRequestId);
   line.Add("content", mDigest.Text())
-    .Add("endpoint", aPick.mEndpoint->mInfo.mId)
+    .Add("endpoint", aChoice.mEndpoint->mInfo.mId)
     .Add("started_at",
-         aPick.mEndpoint->mEndpointIncarnation.Current().StartedAt())
-    .Add("running", aPick.mEndpoint->mRunning)
-    .Add("candidates", aPick.mCandidates)
-    .Add("listed", aPick.mEndpoint->mInfo.mRevision)
-    .Add("list_age_ms", mCore->mParts.mEndpointList.Age(Now()).count())
+         aChoice.mEndpoint->mEndpointIncarnation.Current().StartedAt())
+    .Add("running", aChoice.mEndpoint->mRunning)
+    .Add("candidates", aChoice.mCandidates)
+    .Add("listed", aChoice.mEndpoint->mInfo.mRevision)
+    .Add("list_age_ms", mCore->mDependencies.mEndpointList.Age(Now()).count())
     .Add("ms", SinceArrival().count());
-  if (aPick.mWeights != 0) {
-    line.Add("waiting_tokens", aPick.mWaitingTokens)
-      .Add("expected_ms", aPick.mExpected.count())
-      .Add("urgency", aPick.mUrgency)
-      .Add("news_age_ms", aPick.mNewsAge.count());
+  if (aChoice.mWeights != 0) {
+    line.Add("waiting_tokens", aChoice.mWaitingTokens)
+      .Add("expected_ms", aChoice.mExpected.count())
+      .Add("urgency", aChoice.mUrgency)
+      .Add("news_age_ms", aChoice.mNewsAge.count());
   }
-  mCore->mParts.mLog.Write(std::move(line));
+  mCore->mDependencies.mLog.Write(std::move(line));
 }
 
 void
-RelayRun::LogAttempt(const EndpointChoice& aPick, AttemptOutcome aOutcome)
+RelayRun::LogAttempt(const EndpointChoice& aChoice, AttemptOutcome aOutcome)
 {
-  const auto& endpoint = *aPick.mEndpoint;
+  const auto& endpoint = *aChoice.mEndpoint;
   EventLine line(kRelayComponent, "attempt", mCall.mRequestId);
   line.Add("endpoint", endpoint.mInfo.mId)
     .Add("zone", endpoint.mInfo.mZone)
@@ -46,29 +46,29 @@
     line.Add("first_ms", mTimes.mFirst->count())
       .Add("pause_ms", mTimes.mLongestPause.count());
   }
-  if (aPick.mWeights != 0) {
-    line.Add("weights", aPick.mWeights)
-      .Add("shared_part", aPick.mPart)
-      .Add("kept", aPick.mIsKept)
-      .Add("to_read", aPick.mPrefillTokens)
-      .Add("source", aPick.mPartSource)
-      .Add("saves", !aPick.mPartStore.empty());
+  if (aChoice.mWeights != 0) {
+    line.Add("weights", aChoice.mWeights)
+      .Add("shared_part", aChoice.mPart)
+      .Add("kept", aChoice.mIsPartCached)
+      .Add("to_read", aChoice.mPrefillTokens)
+      .Add("source", aChoice.mPartSource)
+      .Add("saves", !aChoice.mPartStore.empty());
   }
   if (aOutcome != AttemptOutcome::kDone) {
     line.Add("problem", mLastProblem);
   }
-  mCore->mParts.mMetrics.Count(
+  mCore->mDependencies.mMetrics.Count(
     "shuntjunction_relay_attempts_total",
     { { "service", mService },
       { "outcome", std::string(kAttemptOutcomeNames.Name(aOutcome)) } });
-  mCore->mParts.mLog.Write(std::move(line));
+  mCore->mDependencies.mLog.Write(std::move(line));
 }
 
 void
 RelayRun::LogOutcome(std::string_view aOutcome, std::string_view aReason)
 {
-  auto& parts = mCore->mParts;
-  const auto age = parts.mConfigConfirmed.Age(Now());
+  auto& dependencies = mCore->mDependencies;
+  const auto age = dependencies.mConfigConfirmed.Age(Now());
   EventLine line(kRelayComponent, "request", mCall.mRequestId);
   line.Add("outcome", aOutcome)
     .Add("reason", aReason)
@@ -83,10 +83,11 @@
     .Add("config", mView->mConfig->Version())
     .Add("config_age_ms", age.count())
     .Add("ms", SinceArrival().count());
-  parts.mLog.Write(std::move(line));
-  parts.mMetrics.Count("shuntjunction_relay_requests_total",
-                       { { "route", mRoute != nullptr ? mRoute->mName : "" },
-                         { "outcome", std::string(aOutcome) } });
+  dependencies.mLog.Write(std::move(line));
+  dependencies.mMetrics.Count(
+    "shuntjunction_relay_requests_total",
+    { { "route", mRoute != nullptr ? mRoute->mName : "" },
+      { "outcome", std::string(aOutcome) } });
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/relay_session.cpp
+++ b/packages/coordination/src/relay_session.cpp
@@ -63,12 +63,12 @@
   ++mCore->mActive;
   mCore->mBodyBytes += request->mBody.size();
   const auto bytes = request->mBody.size();
-  RelayRun run(mCore, *mReader, request, mCore->mParts.mClock.Now());
-  const bool isKept = co_await run.Run();
+  RelayRun run(mCore, *mReader, request, mCore->mDependencies.mClock.Now());
+  const bool keepsConnection = co_await run.Run();
   mCore->mBodyBytes -= bytes;
   --mCore->mActive;
   mIsIdle = true;
-  co_return isKept;
+  co_return keepsConnection;
 }
 
 Task<std::shared_ptr<RelayRequest>>
@@ -76,8 +76,8 @@
 {
   const auto limits = mCore->mView->mConfig->Rules().mLimits;
   RelayRequestReader reader(limits.mHeaderBytes, limits.mBodyBytes);
-  const bool isWhole = co_await ReadFullRequest(reader, limits);
-  if (!isWhole) {
+  const bool isComplete = co_await ReadFullRequest(reader, limits);
+  if (!isComplete) {
     co_return nullptr;
   }
   if (!HasRoomForBody()) {
@@ -91,7 +91,7 @@
 RelaySession::ReadFullRequest(RelayRequestReader& aRequest,
                               const state::CallerLimits& aLimits)
 {
-  const auto& clock = mCore->mParts.mClock;
+  const auto& clock = mCore->mDependencies.mClock;
   TimePoint until = clock.Now() + aLimits.mIdleTimeout;
   bool isContinued = false;
   while (true) {
@@ -112,7 +112,7 @@
       }
       if (aRequest.WantsContinue() && !std::exchange(isContinued, true)) {
         co_await Write("HTTP/1.1 100 Continue\r\n\r\n");
-        // What came meanwhile is in the buffer, and woke nobody.
+        // Bytes that arrived meanwhile are buffered, and woke no reader.
         continue;
       }
     }
@@ -134,16 +134,16 @@
 {
   const double share =
     mCore->mLimits.mBodyShare *
-    static_cast<double>(mCore->mParts.mSettings.mMemoryBytes);
+    static_cast<double>(mCore->mDependencies.mSettings.mMemoryBytes);
   return static_cast<double>(mCore->mBodyBytes) <= share;
 }
 
 Task<void>
 RelaySession::RefuseUnread(unsigned aStatus, std::string_view aProblem)
 {
-  mCore->mParts.mLog.Write(EventLine(kRelayComponent, "unread")
-                             .Add("status", aStatus)
-                             .Add("problem", aProblem));
+  mCore->mDependencies.mLog.Write(EventLine(kRelayComponent, "unread")
+                                    .Add("status", aStatus)
+                                    .Add("problem", aProblem));
   std::string text = "HTTP/1.1 " + std::to_string(aStatus) +
                      " refused\r\nContent-Length: 0\r\nConnection: close\r\n";
   if (aStatus == kUnavailable) {
@@ -156,7 +156,7 @@
 Task<void>
 RelaySession::Write(std::string aText)
 {
-  // A caller that is gone is noticed by the reading.
+  // The reading side notices a caller that is gone.
   co_await boost::asio::async_write(
     mReader->Socket(), boost::asio::buffer(aText), transport::kAsTuple);
 }
--- a/packages/coordination/src/relay_session.h
+++ b/packages/coordination/src/relay_session.h
@@ -6,7 +6,7 @@
 
 namespace shuntjunction::coordination {
 
-/// Reads requests from a connection and has each served.
+/// Reads requests from a connection and serves each.
 ///
 /// Thread safety: none; used on the relay's thread.
 class RelaySession : public std::enable_shared_from_this<RelaySession>
@@ -27,16 +27,16 @@
 private:
   transport::Task<bool> ServeOne();
 
-  /// Reads the next request; null when there is none, or it was refused.
+  /// Reads the next request; null when there is none or it was refused.
   transport::Task<std::shared_ptr<transport::RelayRequest>> ReadRequest();
 
-  /// Reads into aRequest until it is whole; false when it will not be.
+  /// Reads into aRequest until it is complete; false when it will not be.
   ///
   /// @pre  both arguments outlive the call
   transport::Task<bool> ReadFullRequest(transport::RelayRequestReader& aRequest,
                                         const state::CallerLimits& aLimits);
 
-  /// Whether the bodies in memory leave room for one more.
+  /// Whether the request bodies in memory leave room for one more.
   bool HasRoomForBody() const;
 
   transport::Task<void> RefuseUnread(unsigned aStatus,
--- a/packages/coordination/src/request_intake.cpp
+++ b/packages/coordination/src/request_intake.cpp
@@ -1,5 +1,5 @@
-// What every request passes before it is sent anywhere: the team's key and
-// limit, the header fields, the body.
+// Checks of every request before it is sent anywhere: the team's key and limit,
+// the header fields, the body.
 
 #include <algorithm>
 #include <charconv>
@@ -51,7 +51,7 @@
          aMethod == "DELETE" || aMethod == "OPTIONS";
 }
 
-/// A caller's time limit; empty when it names none, zero when it is malformed.
+/// A caller's time limit; empty when it states none, zero when it is malformed.
 std::optional<Millis>
 ReadTimeLimit(const transport::HttpRequest& aRequest)
 {
@@ -157,7 +157,8 @@
   mDeadline =
     mArrived + limit.value_or(mRouter.mSettings.mRouter.mDefaultDeadline);
   if (mIsNotRepeatable && mSubmit.mKey.empty()) {
-    // Nothing else names it; a caller that asks again asks for a new run.
+    // Nothing else identifies the request; a caller that sends it again wants a
+    // new run.
     mSubmit.mKey = state::RandomNonce();
   }
   mSubmit.mIsOnce = mIsNotRepeatable;
@@ -198,7 +199,7 @@
   mChain = state::BuildPrefixChain(
     { mTeam->mName, call->mModel, mRouter.WeightsOf(call->mModel) },
     call->mLevels);
-  mLife = std::make_unique<state::RequestLifecycle>(
+  mLifecycle = std::make_unique<state::RequestLifecycle>(
     mIsNotRepeatable ? Repeatability::kClaimed : Repeatability::kRepeatable);
   co_await Serve();
 }
@@ -239,7 +240,7 @@
     repeatability = IsIdempotent(request.mMethod) ? Repeatability::kRepeatable
                                                   : Repeatability::kUnclaimed;
   }
-  mLife = std::make_unique<state::RequestLifecycle>(repeatability);
+  mLifecycle = std::make_unique<state::RequestLifecycle>(repeatability);
   co_await Serve();
 }
 
--- a/packages/coordination/src/request_run.cpp
+++ b/packages/coordination/src/request_run.cpp
@@ -1,4 +1,4 @@
-// Attempts at endpoints, and what is said when none of them answered.
+// Attempts at endpoints, and the error when none of them answered.
 
 #include "request_run.h"
 
@@ -31,14 +31,15 @@
   mQuery.mLevels = mChain.mLevels;
   mQuery.mBlocks = static_cast<std::uint32_t>(mChain.mBlocks.size());
   mExchange.OnGone([this] {
-    mIsGone = true;
+    mIsCallerGone = true;
     if (mMailbox) {
       mMailbox->Push(AttemptEvent(ClientDisconnected{}));
     }
   });
   mRouter.mRetries.Earn(mArrived);
   const auto& settings = mRouter.mSettings.mRouter;
-  while (!mIsGone && mLife->MayOffer() && mAttempts < settings.mMaxAttempts) {
+  while (!mIsCallerGone && mLifecycle->MayOffer() &&
+         mAttempts < settings.mMaxAttempts) {
     const TimePoint now = mRouter.mClock.Now();
     if (!mHasFirstToken && now >= mDeadline) {
       mIsDeadlineExceeded = true;
@@ -58,8 +59,8 @@
     ++mAttempts;
     co_await TryOnce(mEndpoint);
   }
-  const RequestState end = mLife->State();
-  if (end != RequestState::kComplete && !mIsGone) {
+  const RequestState end = mLifecycle->State();
+  if (end != RequestState::kComplete && !mIsCallerGone) {
     const ApiError error = FinalError();
     mRouter.mLog.Info("ended in " + error.mCode + " after " +
                         std::to_string(mAttempts) + " attempts: " + mLastError +
@@ -73,8 +74,8 @@
 Task<bool>
 RequestRun::ReconsiderExcluded()
 {
-  // An endpoint that was lost may be back; one that refused is not asked
-  // again, since whoever asked is told when to come back instead.
+  // A lost endpoint may be back. One that refused is not asked again, since its
+  // caller is told when to retry instead.
   if (mWasRefused || mExcluded.empty()) {
     co_return false;
   }
@@ -94,8 +95,8 @@
   submit.mResumeOffset = mGate.Delivered();
   submit.mResumeText = mText;
   const TimePoint now = mRouter.mClock.Now();
-  // A stream that is resumed has met its deadline; what counts from then on
-  // is the time between two tokens.
+  // A resumed stream has met its deadline; from then on the time between two
+  // tokens counts.
   const TimePoint due = mHasFirstToken
                           ? now + mRouter.mSettings.mRouter.mTokenTimeout
                           : std::max(mDeadline, now + kDeadlineGrace);
@@ -129,7 +130,7 @@
   const protocol::StreamId id = link->Open(mMailbox);
   const std::uint32_t attempt = mGate.OpenAttempt();
   mIsStarted = false;
-  mLife->Offered();
+  mLifecycle->Offered();
   auto submit = MakeSubmit(id);
   submit.mConfigVersion = link->UnannouncedVersion(mRouter.mConfig.Version());
   link->Send(submit);
@@ -142,7 +143,7 @@
     if (!event) {
       mLastError = "no answer in time";
       mIsDeadlineExceeded = !mHasFirstToken;
-      mLife->Lost();
+      mLifecycle->Lost();
       ExcludeEndpoint();
       link->Send(protocol::Cancel{ id, attempt });
       break;
@@ -153,11 +154,12 @@
     }
     if (const auto* down = std::get_if<LinkDown>(&*event)) {
       mLastError = "the link broke: " + down->mText;
-      mLife->Lost();
+      mLifecycle->Lost();
       ExcludeEndpoint();
       break;
     }
-    outcome = co_await Take(*link, id, std::move(std::get<Message>(*event)));
+    outcome =
+      co_await HandleMessage(*link, id, std::move(std::get<Message>(*event)));
   }
   link->Close(id);
   mGate.CloseAttempt();
@@ -172,7 +174,9 @@
 }
 
 Task<RequestRun::AttemptOutcome>
-RequestRun::Take(PeerLink& aLink, protocol::StreamId aId, Message aMessage)
+RequestRun::HandleMessage(PeerLink& aLink,
+                          protocol::StreamId aId,
+                          Message aMessage)
 {
   if (auto* tokens = std::get_if<protocol::Tokens>(&aMessage)) {
     co_return co_await HandleTokens(aLink, aId, std::move(*tokens));
@@ -203,7 +207,7 @@
     return;
   }
   const TimePoint now = mRouter.mClock.Now();
-  mLife->Started();
+  mLifecycle->Started();
   mGate.Bind(aStarted.mIncarnation);
   mIsStarted = true;
   if (mWeights == 0) {
@@ -248,7 +252,7 @@
       co_return AttemptOutcome::kContinues;
     case state::StreamGate::Verdict::kGap:
       mLastError = "tokens were missing in the stream";
-      mLife->Lost();
+      mLifecycle->Lost();
       ExcludeEndpoint();
       aLink.Send(protocol::Cancel{ aId, aTokens.mAttempt });
       co_return AttemptOutcome::kEnded;
@@ -266,17 +270,17 @@
                   since.count());
   mLastToken = now;
   mText += aTokens.mText;
-  const auto most =
+  const auto limit =
     static_cast<std::size_t>(mRouter.mSettings.mLimits.mMaxAnswerBytes);
-  if (mText.size() > most) {
+  if (mText.size() > limit) {
     mLastError = "the answer is too large";
-    mLife->Settled();
+    mLifecycle->Settled();
     aLink.Send(protocol::Cancel{ aId, aTokens.mAttempt });
     co_return AttemptOutcome::kEnded;
   }
-  const auto written = co_await mSink->Tokens(std::move(aTokens.mText));
+  const auto written = co_await mSink->WriteTokens(std::move(aTokens.mText));
   if (!written) {
-    mIsGone = true;
+    mIsCallerGone = true;
     aLink.Send(protocol::Cancel{ aId, aTokens.mAttempt });
     co_return AttemptOutcome::kEnded;
   }
@@ -295,7 +299,7 @@
   const bool isService = mSubmit.mKind == RequestKind::kService;
   if (!isService && !mGate.Completes(from, aFinished.mTotalTokens)) {
     mLastError = "the stream ended before all its tokens came";
-    mLife->Lost();
+    mLifecycle->Lost();
     ExcludeEndpoint();
     co_return AttemptOutcome::kEnded;
   }
@@ -305,7 +309,7 @@
                               aFinished.mMicrosPerBlock,
                               mRouter.mClock.Now() });
   }
-  mLife->Finished();
+  mLifecycle->Finished();
   co_await mSink->Finish(std::move(aFinished));
   co_return AttemptOutcome::kEnded;
 }
@@ -313,7 +317,7 @@
 void
 RequestRun::HandleRefused(const protocol::Refused& aRefused)
 {
-  mLife->Refused();
+  mLifecycle->Refused();
   mWasRefused = true;
   mLastError =
     "refused by " + mRouter.mTable.At(mEndpoint).mInstance.mName + " (" +
@@ -328,7 +332,7 @@
     mRouter.mTable.NoteLeaving(mEndpoint, mRouter.mClock.Now());
   }
   if (aRefused.mReason == state::RefusalReason::kEngineDown) {
-    // The companion lives, but what it stands for does not.
+    // The companion runs, but its engine does not.
     mRouter.mTable.At(mEndpoint).mHealth.Failed(mRouter.mClock.Now());
     mWasRefused = false;
   }
@@ -344,16 +348,17 @@
   switch (aFailed.mRunState) {
     case RunState::kAlreadyTaken:
       // A lost endpoint may have taken this very request: then no earlier one
-      // did, and the caller must not be told of any.
-      mSettledState = mLife->WasLost() ? RunState::kUnknown : aFailed.mRunState;
-      mLife->Settled();
+      // did, and the caller must not be told of an earlier one.
+      mSettledState =
+        mLifecycle->WasLost() ? RunState::kUnknown : aFailed.mRunState;
+      mLifecycle->Settled();
       return;
     case RunState::kKeyReused:
       mSettledState = aFailed.mRunState;
-      mLife->Settled();
+      mLifecycle->Settled();
       return;
     default:
-      mLife->Lost();
+      mLifecycle->Lost();
       ExcludeEndpoint();
       return;
   }
@@ -380,7 +385,7 @@
   if (mSettledState && *mSettledState != RunState::kUnknown) {
     return SettledError(*mSettledState);
   }
-  const bool isNotRun = mLife->IsNotRun();
+  const bool isNotRun = mLifecycle->IsNotRun();
   ApiError error;
   error.mRunState = state::kRunStateNames.Name(isNotRun ? RunState::kNotRun
                                                         : RunState::kUnknown);
@@ -410,7 +415,8 @@
 RequestRun::CountOutcome()
 {
   const std::string_view outcome =
-    mIsGone ? "caller-gone" : state::kRequestStateNames.Name(mLife->State());
+    mIsCallerGone ? "caller-gone"
+                  : state::kRequestStateNames.Name(mLifecycle->State());
   mRouter.mMetrics.Count(
     "shuntjunction_requests_total",
     { { "class", std::string(state::kPriorityNames.Name(mSubmit.mPriority)) },
--- a/packages/coordination/src/request_run.h
+++ b/packages/coordination/src/request_run.h
@@ -30,11 +30,11 @@
   /// Answers with the models that the team may use.
   transport::Task<void> RunModelList();
 
-  /// Answers a request of no known path.
+  /// Answers a request with an unknown path.
   transport::Task<void> RunUnknownPath();
 
 private:
-  /// What an event did to the open attempt.
+  /// Effect of an event on the open attempt.
   enum class AttemptOutcome : std::uint8_t
   {
     kContinues,
@@ -45,9 +45,9 @@
   std::optional<ApiError> ReadFields();
   transport::Task<void> Serve();
   transport::Task<void> TryOnce(state::EndpointHandle aHandle);
-  transport::Task<AttemptOutcome> Take(PeerLink& aLink,
-                                       protocol::StreamId aId,
-                                       protocol::Message aMessage);
+  transport::Task<AttemptOutcome> HandleMessage(PeerLink& aLink,
+                                                protocol::StreamId aId,
+                                                protocol::Message aMessage);
   transport::Task<AttemptOutcome> HandleTokens(PeerLink& aLink,
                                                protocol::StreamId aId,
                                                protocol::Tokens aTokens);
@@ -72,10 +72,10 @@
   protocol::Submit mSubmit;
   state::PrefixChain mChain;
   state::ChoiceQuery mQuery;
-  std::unique_ptr<state::RequestLifecycle> mLife;
+  std::unique_ptr<state::RequestLifecycle> mLifecycle;
   state::StreamGate mGate;
   bool mIsNotRepeatable = false;
-  bool mIsGone = false;
+  bool mIsCallerGone = false;
   bool mIsDeadlineExceeded = false;
   bool mIsOutOfRetries = false;
   state::TimePoint mArrived;
@@ -89,10 +89,11 @@
   bool mHasFirstToken = false;
   bool mIsStarted = false;    ///< in the open attempt
   bool mWasRefused = false;   ///< the last attempt was
-  std::uint32_t mWeights = 0; ///< that answered first; 0 until known
+  std::uint32_t mWeights = 0; ///< of the first answer; 0 until known
   std::uint32_t mRetryAfterMs = 0;
   std::optional<state::RunState> mSettledState;
-  std::string mLastError = "no endpoint serves it"; ///< why it failed, at last
+  /// Why the last attempt failed.
+  std::string mLastError = "no endpoint serves it";
 };
 
 } // namespace shuntjunction::coordination
