--- a/packages/coordination/tests/engine_news_test.cpp
+++ b/packages/coordination/tests/engine_news_test.cpp
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-// The story of what companions tell relays, and relays each other.
+// What companions report to relays, and relays to each other.
 
 namespace shuntjunction::coordination {
 
@@ -50,7 +50,8 @@
   std::vector<PartReading> mReadings;
   std::vector<protocol::CrashWord> mCrashes;
   std::vector<state::RateNews> mRates;
-  std::vector<std::string> mEnded; ///< hosts whose companion ended
+  /// Hosts whose companion ended its connection.
+  std::vector<std::string> mEnded;
   EngineNewsClient mClient;
 };
 
@@ -66,12 +67,12 @@
     , mOne(mContext, "relay-1", mPort, mLog)
     , mTwo(mContext, "relay-2", mPort, mLog)
   {
-    // The first news on a connection says that it stands.
+    // The first update shows that the connection is established.
     Await([this] { return !mOne.mNews.empty() && !mTwo.mNews.empty(); });
   }
 
-  /// One of the relays asks for a part, and has been heard.
-  void AskFor(const std::string& aPart)
+  /// One of the relays asks for a part, and the companion received it.
+  void RequestPart(const std::string& aPart)
   {
     mServer.ChangeParts(PartHolder::kEngine, {}, { aPart }, {});
     mOne.mClient.SetWaiting(Listener::kEngine, {}, aPart);
@@ -81,16 +82,16 @@
     mServer.ChangeParts(PartHolder::kEngine, {}, {}, { aPart });
   }
 
-  /// Runs everything until something is so; a test that waits in vain fails.
-  void Await(const std::function<bool()>& aIsSo)
+  /// Runs the context until a condition holds; the test fails if it never does.
+  void Await(const std::function<bool()>& aCondition)
   {
-    constexpr std::chrono::seconds kPatience{ 30 };
-    const auto until = state::BootClock::now() + kPatience;
-    while (!aIsSo() && state::BootClock::now() < until) {
+    constexpr std::chrono::seconds kTimeout{ 30 };
+    const auto until = state::BootClock::now() + kTimeout;
+    while (!aCondition() && state::BootClock::now() < until) {
       mContext.restart();
       mContext.run_for(Millis(5));
     }
-    EXPECT_TRUE(aIsSo());
+    EXPECT_TRUE(aCondition());
   }
 
   state::SystemClock mClock;
@@ -102,25 +103,25 @@
   Listener mTwo;
 };
 
-TEST_F(GivenACompanionAndTwoRelays, NeitherHearsOfPartsThatNobodyAskedFor)
+TEST_F(GivenACompanionAndTwoRelays, NeitherReceivesPartsThatNobodyRequested)
 {
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/own" }, {});
-  AskFor("s/a");
+  RequestPart("s/a");
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/a" }, { "s/own" });
-  const auto hears = [&](const std::string& aPart) {
+  const auto receives = [&](const std::string& aPart) {
     return std::any_of(
       mTwo.mNews.begin(), mTwo.mNews.end(), [&](const auto& aNews) {
         const auto& gained = aNews.mGained;
         return std::find(gained.begin(), gained.end(), aPart) != gained.end();
       });
   };
-  Await([&] { return hears("s/a"); });
-  EXPECT_FALSE(hears("s/own"));
+  Await([&] { return receives("s/a"); });
+  EXPECT_FALSE(receives("s/own"));
 }
 
-TEST_F(GivenACompanionAndTwoRelays, BothHearWhatTheEngineKeeps)
+TEST_F(GivenACompanionAndTwoRelays, BothReceiveThePartsThatTheEngineCaches)
 {
-  AskFor("s/a");
+  RequestPart("s/a");
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/a" }, {});
   const auto hasGained = [](const Listener& aListener) {
     return aListener.mNews.back().mGained == std::vector<std::string>{ "s/a" };
@@ -128,7 +129,7 @@
   Await([&] { return hasGained(mOne) && hasGained(mTwo); });
 }
 
-TEST_F(GivenACompanionAndTwoRelays, WhatOneReadsTheOtherHearsAndNotItself)
+TEST_F(GivenACompanionAndTwoRelays, APartReadingReachesTheOtherAndNotItsSender)
 {
   mOne.mClient.SendPartReading(Listener::kEngine, { "s/a", false });
   mOne.mClient.SendPartReading(Listener::kEngine, { "s/a", true });
@@ -138,8 +139,8 @@
   EXPECT_TRUE(mTwo.mReadings[1].mIsDone);
   EXPECT_TRUE(mOne.mReadings.empty());
   {
-    SCOPED_TRACE("the channel stands: news still come");
-    AskFor("s/b");
+    SCOPED_TRACE("the channel is still open: updates still arrive");
+    RequestPart("s/b");
     mServer.ChangeParts(PartHolder::kEngine, {}, { "s/b" }, {});
     Await([&] {
       return mOne.mNews.back().mGained == std::vector<std::string>{ "s/b" };
@@ -164,7 +165,7 @@
   const state::RequestDigest mRequest{ { "POST", "h", "/p", "", "body" } };
 };
 
-TEST_F(OfWhichOneSawACrash, TheOtherHearsOfItOnce)
+TEST_F(OfWhichOneSawACrash, TheOtherReceivesItOnce)
 {
   SendPartReading(false);
   SendPartReading(true);
@@ -174,8 +175,9 @@
   EXPECT_TRUE(mTwo.mCrashes[1].mIsCleared);
 }
 
-// What other processes know after a restart.
-TEST_F(OfWhichOneSawACrash, OneThatComesLaterHearsOfItWithItsAge)
+// A relay that connects later, as after a restart, depends on what other
+// processes remember.
+TEST_F(OfWhichOneSawACrash, OneThatConnectsLaterReceivesItWithItsAge)
 {
   Await([this] { return !mTwo.mCrashes.empty(); });
   Listener late(mContext, "relay-3", mPort, mLog);
@@ -184,7 +186,7 @@
   late.mClient.Follow({});
 }
 
-TEST_F(OfWhichOneSawACrash, OneThatComesAfterItWasClearedDoesNot)
+TEST_F(OfWhichOneSawACrash, OneThatConnectsAfterItWasClearedDoesNot)
 {
   SendPartReading(true);
   Await([this] { return mTwo.mCrashes.size() == 2; });
@@ -210,29 +212,29 @@
   state::WaitingTokens mWaiting;
 };
 
-TEST_F(OfWhichOneHasMuchWaiting, ItIsNotToldOfItsOwn)
+TEST_F(OfWhichOneHasMuchWaiting, ItDoesNotReceiveItsOwn)
 {
   EXPECT_EQ(mOne.mNews.back().mWaiting.Total(), 0);
 }
 
-TEST_F(OfWhichOneHasMuchWaiting, TheOtherHearsWhenItIsRead)
+TEST_F(OfWhichOneHasMuchWaiting, TheOtherIsInformedWhenItIsPrefilled)
 {
   mOne.mClient.SetWaiting(Listener::kEngine, {}, {});
   Await([this] { return mTwo.mNews.back().mWaiting.Total() == 0; });
 }
 
-TEST_F(OfWhichOneHasMuchWaiting, WhatOneThatWentHadWaitingCountsNoMore)
+TEST_F(OfWhichOneHasMuchWaiting, TheTokensOfADisconnectedRelayNoLongerCount)
 {
   mOne.mClient.Follow({});
   Await([this] { return mTwo.mNews.back().mWaiting.Total() == 0; });
 }
 
-TEST_F(OfWhichOneHasMuchWaiting, LittleMoreIsNotWorthAMessage)
+TEST_F(OfWhichOneHasMuchWaiting, ASmallChangeIsNotSent)
 {
   const auto before = mTwo.mNews.size();
   mWaiting.Add(1, 10);
   mOne.mClient.SetWaiting(Listener::kEngine, mWaiting, {});
-  // The next news that must come is of something else.
+  // The next update that must come is about something else.
   mServer.SetState({ "i-1", "m", 2, protocol::EnginePhase::kOpen });
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/a" }, {});
   Await([&] { return mTwo.mNews.size() > before; });
@@ -246,9 +248,9 @@
   {
     mServer.SetState({ "i-1", "m", 1, protocol::EnginePhase::kOpen });
     mServer.SetLife(mFormer);
-    AskFor("s/a");
-    AskFor("s/b");
-    AskFor("s/c");
+    RequestPart("s/a");
+    RequestPart("s/b");
+    RequestPart("s/c");
     mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/a" }, {});
     mServer.SetLife(mNow);
     Await([this] { return mOne.mNews.back().mEndpointIncarnation == mNow; });
@@ -258,13 +260,13 @@
   const state::EndpointIncarnation mNow{ 2000 };
 };
 
-TEST_F(WhoseEngineStartedAgain, RelaysHearThatItKeepsNothing)
+TEST_F(WhoseEngineStartedAgain, RelaysReceiveAnEmptyListOfParts)
 {
   EXPECT_TRUE(mOne.mNews.back().mIsWhole);
   EXPECT_TRUE(mOne.mNews.back().mGained.empty());
 }
 
-TEST_F(WhoseEngineStartedAgain, WhatItsFormerLifeKeptIsNotTold)
+TEST_F(WhoseEngineStartedAgain, PartsOfItsFormerLifeAreNotSent)
 {
   mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/b" }, {});
   mServer.ChangeParts(PartHolder::kEngine, mNow, { "s/c" }, {});
