--- a/apps/shuntjunctiond.cpp
+++ b/apps/shuntjunctiond.cpp
@@ -14,7 +14,7 @@
 #include "shuntjunction/coordination/log.h"
 #include "shuntjunction/platform/boot_settings.h"
 #include "shuntjunction/platform/call_codec.h"
-#include "shuntjunction/platform/engine_calls.h"
+#include "shuntjunction/platform/http_engine_control.h"
 #include "shuntjunction/platform/object_codec.h"
 #include "shuntjunction/platform/object_store.h"
 #include "shuntjunction/state/settings.h"
@@ -91,8 +91,8 @@
       objectCodec,
       callCodec,
       [](const state::Address& aAddress) {
-        return std::make_unique<platform::EngineCalls>(aAddress,
-                                                       kEngineTimeout);
+        return std::make_unique<platform::HttpEngineControl>(aAddress,
+                                                             kEngineTimeout);
       } },
     [aFile] { return ReadBootFile(aFile); });
   const auto started = daemon->Start();
@@ -120,7 +120,7 @@
   app.set_version_flag("--version", SHUNTJUNCTION_VERSION);
   CLI11_PARSE(app, aCount, aArguments);
 
-  const char* bootFile = std::getenv(platform::kBootFileVariable);
+  const char* bootFile = std::getenv(platform::kConfigFileVariable);
   if (file.empty() && bootFile != nullptr) {
     return RunFleetProcess(bootFile, isCheck);
   }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -262,7 +262,7 @@
 {
   protocol::Probe probe;
   probe.mId = 1U << 30;
-  probe.mServesHash = protocol::ServesHash("crew-notes");
+  probe.mServedNameHash = protocol::ServedNameHash("crew-notes");
   probe.mLevels.resize(static_cast<std::size_t>(aState.range(0)));
   const protocol::ProbeReply reply{ 1U << 30, true, 36, 9000, 4000 };
   std::size_t bytes = 0;
--- a/packages/coordination/include/shuntjunction/coordination/config_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/config_feed.h
@@ -123,7 +123,8 @@
   transport::Task<void> QueryPeers();
   transport::Task<bool> QueryWatchers();
   transport::Task<void> FollowCompanions();
-  transport::Task<bool> Ask(SnapshotClient& aClient, std::string aAddress);
+  transport::Task<bool> QuerySnapshot(SnapshotClient& aClient,
+                                      std::string aAddress);
   transport::Task<void> PauseBetweenQueries();
   bool IsWatcher() const;
   transport::Task<void> PauseAfterFailure();
--- a/packages/coordination/include/shuntjunction/coordination/engine_control.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_control.h
@@ -17,8 +17,8 @@
 struct EngineReport
 {
   std::vector<state::LoadedModel> mModels;
-  bool mIsOrderRunning = false;   ///< an order is in progress
-  std::uint64_t mOrdersTaken = 0; ///< number of accepted orders
+  bool mIsOrderRunning = false;      ///< an order is in progress
+  std::uint64_t mOrdersAccepted = 0; ///< number of accepted orders
   std::int64_t mQueued = 0;
   std::int64_t mActive = 0;
   state::EndpointIncarnation mEndpointIncarnation;
@@ -32,7 +32,7 @@
   std::uint64_t mVersion = 0;
   std::string mHolder;      ///< name of the ordering process
   std::uint64_t mFence = 0; ///< fencing token, higher than any earlier one
-  std::uint64_t mOrdersTaken = 0; ///< as reported when this was decided
+  std::uint64_t mOrdersAccepted = 0; ///< as reported when this was decided
 };
 
 /// The outcome of an order.
@@ -56,7 +56,7 @@
 {
   std::string mSalt;
   std::string mPart;
-  bool mIsKept = false; ///< stored if true, evicted if false
+  bool mIsStored = false; ///< stored if true, evicted if false
 };
 
 /// Changes after a position in the change sequence.
--- a/packages/coordination/include/shuntjunction/coordination/engine_news.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_news.h
@@ -79,7 +79,7 @@
 
   /// Sets the incarnation that the engine itself just reported; parts reported
   /// for another are forgotten.
-  void SetLife(state::EndpointIncarnation aIncarnation);
+  void SetIncarnation(state::EndpointIncarnation aIncarnation);
 
   /// Adds parts that a holder caches and removes those that it lost; reports of
   /// a former incarnation are ignored.
@@ -153,7 +153,7 @@
   /// unreachable or does not answer in time.
   transport::Task<std::optional<state::ShareGrant>> RequestShare(
     std::string aHost,
-    state::ShareAsk aAsk);
+    state::ShareRequest aAsk);
 
   /// Returns the unused amount of a share; dropped while the companion is
   /// unreachable.
--- a/packages/coordination/include/shuntjunction/coordination/http_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/http_platform.h
@@ -40,7 +40,7 @@
   {
     return List(std::move(aPrefix));
   }
-  void AbandonCalls() override { mClient.AbandonCalls(); }
+  void AbortPendingCalls() override { mClient.AbortPendingCalls(); }
 
 private:
   transport::Task<state::Result<transport::HttpResponse>> Call(
--- a/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
@@ -46,7 +46,7 @@
   /// Interval between queries. Changes arrive later by up to this time than
   /// from the store itself; the bounds on key removal and leaving endpoints are
   /// about ten times as long.
-  state::Millis mAskInterval{ 600 };
+  state::Millis mQueryInterval{ 600 };
   state::Millis mResponseTimeout{ 400 };
   /// If a watcher's configuration was confirmed longer ago than this, the
   /// watcher has lost the store.
@@ -121,7 +121,7 @@
   transport::Task<state::Result<InstanceList>> Instances(
     std::uint64_t aAfter,
     state::Millis aWait) override;
-  void AbandonCalls() override;
+  void AbortPendingCalls() override;
 
 private:
   /// The outcome of querying a watcher, from worst to best.
--- a/packages/coordination/include/shuntjunction/coordination/platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/platform.h
@@ -111,7 +111,7 @@
     state::Millis aWait) = 0;
 
   /// Aborts all pending calls; they return kTimeout.
-  virtual void AbandonCalls() = 0;
+  virtual void AbortPendingCalls() = 0;
 };
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/include/shuntjunction/coordination/relay.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay.h
@@ -42,7 +42,7 @@
   /// no companion can be asked, and teams with limits are refused.
   std::function<transport::Task<std::optional<state::ShareGrant>>(
     std::string,
-    state::ShareAsk)>
+    state::ShareRequest)>
     mRequestShare = {};
   /// Returns to the companion what was not used.
   std::function<void(const std::string&, const protocol::LimitReturn&)>
--- a/packages/coordination/include/shuntjunction/coordination/relay_codec.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_codec.h
@@ -89,7 +89,7 @@
 
   /// Reads an endpoint's answer.
   virtual AnswerInfo ReadAnswer(
-    const transport::RelayAnswer& aAnswer) const = 0;
+    const transport::RelayResponse& aAnswer) const = 0;
 };
 
 /// Quarantine of a request, as the store holds it.
--- a/packages/coordination/include/shuntjunction/coordination/relay_settings.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_settings.h
@@ -27,15 +27,15 @@
 {
   /// Time after a key's removal was accepted; later, no request with it may
   /// run.
-  state::Millis mKeyRemoval{ 5000 };
+  state::Millis mKeyRevocationDeadline{ 5000 };
   /// Time after an endpoint announced that it leaves; later, no request may
   /// reach it.
-  state::Millis mEndpointLeaving{ 2000 };
+  state::Millis mDrainDeadline{ 2000 };
   /// From SIGTERM to SIGKILL.
   state::Millis mStopGrace{ 8000 };
   /// Time after newer weights were announced; later, no request begins on older
   /// ones.
-  state::Millis mWeightsLimit{ 10000 };
+  state::Millis mOldWeightsDeadline{ 10000 };
   /// Tolerated usage beyond a team's limit, in the limit's unit.
   double mUsageTolerance = 0;
   state::WindowBudgetSettings mRetries{ 0.2, 56.0, state::Millis(10000) };
--- a/packages/coordination/include/shuntjunction/coordination/snapshot_client.h
+++ b/packages/coordination/include/shuntjunction/coordination/snapshot_client.h
@@ -31,7 +31,7 @@
   /// @param aAddress  "host:port" of the peer's frame protocol
   /// @return a reply without text if the peer has nothing newer; an error if it
   ///         cannot be reached or does not respond
-  transport::Task<state::Result<protocol::SnapshotReply>> Ask(
+  transport::Task<state::Result<protocol::SnapshotReply>> QuerySnapshot(
     std::string aAddress,
     protocol::SnapshotRequest aHave);
 
--- a/packages/coordination/src/companion.cpp
+++ b/packages/coordination/src/companion.cpp
@@ -323,7 +323,7 @@
   reply.mIsAccepting =
     !mIsDraining && !mIsPaused && mState.mIncarnation != 0 &&
     (!mBackend.IsEngine() ||
-     protocol::ServesHash(mState.mModel) == aProbe.mServesHash);
+     protocol::ServedNameHash(mState.mModel) == aProbe.mServedNameHash);
   reply.mCachedBlocks = mIndex.CachedBlocks(std::span(aProbe.mLevels));
   reply.mWaitMicros = static_cast<std::uint32_t>(
     std::min<std::int64_t>(mQueue.WaitMicros(aProbe.mPriority), UINT32_MAX));
--- a/packages/coordination/src/companion_parts.h
+++ b/packages/coordination/src/companion_parts.h
@@ -68,7 +68,7 @@
   {
     mIsCancelled = true;
     mMailbox.Push(WorkEvent::kCancelled);
-    if (!mSubmit.mIsOnce) {
+    if (!mSubmit.mIsAtMostOnce) {
       mCancel->Cancel();
     }
   }
--- a/packages/coordination/src/companion_warming.cpp
+++ b/packages/coordination/src/companion_warming.cpp
@@ -68,7 +68,7 @@
   protocol::Submit submit;
   submit.mRequestId = "warming";
   submit.mTeam = aTask.mTeam;
-  submit.mServes = aTask.mModel;
+  submit.mServedName = aTask.mModel;
   submit.mDeadlineMs = static_cast<std::uint32_t>(
     std::max(aTask.mUntilStart, kMinWarmTime).count());
   submit.mWindow = kWarmWindow;
--- a/packages/coordination/src/companion_work.cpp
+++ b/packages/coordination/src/companion_work.cpp
@@ -48,7 +48,7 @@
   }
   const bool isWrongWeights =
     aSubmit.mWeightsVersion != 0 && aSubmit.mWeightsVersion != mState.mWeights;
-  if (mIsPaused || aSubmit.mServes != mState.mModel || isWrongWeights) {
+  if (mIsPaused || aSubmit.mServedName != mState.mModel || isWrongWeights) {
     return RefusalReason::kWrongModel;
   }
   return std::nullopt;
@@ -80,7 +80,7 @@
     const auto body = state::ParseJson(submit.mBody, "body");
     if (body && body->is_object()) {
       const state::CacheScope scope{ submit.mTeam,
-                                     submit.mServes,
+                                     submit.mServedName,
                                      mState.mWeights };
       aWork->mChain = state::BuildPrefixChain(
         scope, PromptLevels(submit.mKind, body->as_object()));
@@ -190,7 +190,7 @@
 Companion::AwaitClaim(WorkPtr aWork, ClaimResult& aClaim)
 {
   const auto& submit = aWork->mSubmit;
-  if (submit.mIsOnce) {
+  if (submit.mIsAtMostOnce) {
     const TimePoint giveUpAt =
       std::min(mClock.Now() + mSettings.mCompanion.mClaimTimeout,
                aWork->mTicket.mDeadline);
@@ -232,7 +232,7 @@
   if (!reason && !aWork->mIsCancelled) {
     co_return true;
   }
-  if (submit.mIsOnce) {
+  if (submit.mIsAtMostOnce) {
     mClaims.Release(aClaim);
   }
   Refuse(
@@ -245,7 +245,7 @@
 {
   auto& submit = aWork->mSubmit;
   const state::CacheScope scope{ submit.mTeam,
-                                 submit.mServes,
+                                 submit.mServedName,
                                  mState.mWeights };
   const std::uint32_t weights = mState.mWeights;
   BackendCall call;
@@ -259,7 +259,7 @@
     mLog.Warn("the backend failed: " + response.error().Describe() + ".",
               submit.mRequestId);
     if (response.error().mCode == state::ErrorCode::kUnavailable) {
-      if (submit.mIsOnce) {
+      if (submit.mIsAtMostOnce) {
         mClaims.Release(aClaim);
       }
       Refuse(*aWork, RefusalReason::kEngineDown, kRetryElsewhereDelay);
@@ -304,7 +304,7 @@
       ProcessQueue();
     }
     if (auto* tokens = std::get_if<BackendTokens>(&*event)) {
-      if (submit.mIsOnce && recordedText.size() <= kMaxRecordedBytes) {
+      if (submit.mIsAtMostOnce && recordedText.size() <= kMaxRecordedBytes) {
         recordedText += tokens->mText;
       }
       aWork->mWindow -= tokens->mCount;
@@ -320,7 +320,7 @@
       continue;
     }
     const auto& end = std::get<BackendEnd>(*event);
-    if (submit.mIsOnce) {
+    if (submit.mIsAtMostOnce) {
       auto& record = aClaim.mRecord;
       record.mIsDone = true;
       record.mStatus = end.mStatus;
@@ -340,7 +340,7 @@
 {
   // A non-repeatable request runs to completion in any case, so that its
   // outcome is available if the caller retries.
-  if (aWork->mSubmit.mIsOnce) {
+  if (aWork->mSubmit.mIsAtMostOnce) {
     co_return true;
   }
   while (aWork->mWindow <= 0 && !aWork->mIsCancelled) {
--- a/packages/coordination/src/config_feed.cpp
+++ b/packages/coordination/src/config_feed.cpp
@@ -232,7 +232,7 @@
 Task<void>
 ConfigFeed::PauseBetweenQueries()
 {
-  co_await transport::Sleep(Jittered(mSettings.mWatchers.mAskInterval));
+  co_await transport::Sleep(Jittered(mSettings.mWatchers.mQueryInterval));
 }
 
 Task<void>
@@ -275,14 +275,14 @@
   if (!mText) {
     return reply;
   }
-  if (reply.mVersion > aHave.mHave) {
-    const auto have = state::ConfigVersion::Unpack(aHave.mHave);
+  if (reply.mVersion > aHave.mKnownVersion) {
+    const auto have = state::ConfigVersion::Unpack(aHave.mKnownVersion);
     reply.mText = mRecent->SerializeSince(have.mEpoch, have.mRevision);
     if (reply.mText.empty()) {
       reply.mText = *mText;
     }
   }
-  if (mInstancesRevision > aHave.mHaveInstances) {
+  if (mInstancesRevision > aHave.mKnownInstances) {
     reply.mInstances = *mInstancesText;
   }
   return reply;
--- a/packages/coordination/src/config_feed_peers.cpp
+++ b/packages/coordination/src/config_feed_peers.cpp
@@ -25,13 +25,13 @@
 }
 
 Task<bool>
-ConfigFeed::Ask(SnapshotClient& aClient, std::string aAddress)
+ConfigFeed::QuerySnapshot(SnapshotClient& aClient, std::string aAddress)
 {
   protocol::SnapshotRequest have;
-  have.mHave =
+  have.mKnownVersion =
     mNeedsFullSnapshot ? 0 : std::max(Version().Packed(), mRefusedVersion);
-  have.mHaveInstances = mInstancesRevision;
-  const auto reply = co_await aClient.Ask(aAddress, have);
+  have.mKnownInstances = mInstancesRevision;
+  const auto reply = co_await aClient.QuerySnapshot(aAddress, have);
   if (!reply) {
     mLog.Debug("no snapshot received: " + reply.error().Describe() + ".");
     co_return false;
@@ -53,7 +53,7 @@
     *mInstances, mSettings.mZone, mSettings.mWatchers.mPerZone);
   std::shuffle(watchers.begin(), watchers.end(), mRandom);
   for (const auto& watcher : watchers) {
-    if (co_await Ask(mPeers, watcher.mAddress)) {
+    if (co_await QuerySnapshot(mPeers, watcher.mAddress)) {
       co_return true;
     }
   }
@@ -73,7 +73,7 @@
       state::SelectPeers(*mInstances, mSettings.mName, kPeersAsked);
     if (!peers.empty()) {
       std::uniform_int_distribution<std::size_t> any(0, peers.size() - 1);
-      co_await Ask(mCompanions, peers[any(mRandom)].mAddress);
+      co_await QuerySnapshot(mCompanions, peers[any(mRandom)].mAddress);
     }
   }
 }
@@ -85,7 +85,7 @@
   std::shuffle(peers.begin(), peers.end(), mRandom);
   peers.resize(std::min(peers.size(), kPeersAsked));
   for (const auto& peer : peers) {
-    co_await Ask(mPeers, peer);
+    co_await QuerySnapshot(mPeers, peer);
   }
 }
 
--- a/packages/coordination/src/daemon.cpp
+++ b/packages/coordination/src/daemon.cpp
@@ -305,7 +305,7 @@
     }
     mLog.Info("stopping.");
     if (mServer) {
-      mServer->RefuseKeepAlive();
+      mServer->DisableKeepAlive();
     }
     if (mCompanion) {
       mCompanion->BeginDrain();
--- a/packages/coordination/src/engine_monitor.cpp
+++ b/packages/coordination/src/engine_monitor.cpp
@@ -45,7 +45,7 @@
     const auto report = co_await mEngine.Report();
     if (report) {
       failures = 0;
-      mNews.SetLife(report->mEndpointIncarnation);
+      mNews.SetIncarnation(report->mEndpointIncarnation);
       mOnReport(*report);
       mNews.SetLoad(static_cast<std::uint32_t>(report->mActive),
                     static_cast<std::uint32_t>(report->mQueued));
--- a/packages/coordination/src/engine_news_client.cpp
+++ b/packages/coordination/src/engine_news_client.cpp
@@ -144,7 +144,7 @@
     }
     aChannel->Close();
     aLink->mChannel = nullptr;
-    co_return aChannel->IsEndedByPeer();
+    co_return aChannel->IsClosedByPeer();
   }
 
   /// Reports what waits there if it differs enough from the last report, or
@@ -338,7 +338,7 @@
 }
 
 Task<std::optional<state::ShareGrant>>
-EngineNewsClient::RequestShare(std::string aHost, state::ShareAsk aAsk)
+EngineNewsClient::RequestShare(std::string aHost, state::ShareRequest aAsk)
 {
   const auto reply =
     co_await mShared->RequestFromCompanion<protocol::LimitGrant>(
--- a/packages/coordination/src/engine_news_server.cpp
+++ b/packages/coordination/src/engine_news_server.cpp
@@ -98,7 +98,7 @@
     if (!mStore.empty()) {
       aChannel->Send(WholeNews(PartHolder::kStore));
     }
-    if (auto crashes = KnownCrashes(); !crashes.mWords.empty()) {
+    if (auto crashes = KnownCrashes(); !crashes.mUpdates.empty()) {
       aChannel->Send(std::move(crashes));
     }
     PublishKnownRates(*aChannel);
@@ -128,7 +128,8 @@
         AddRequestedPart(waiting->mPart);
         ReportWaiting();
       } else if (const auto* ask = std::get_if<protocol::LimitAsk>(&*message)) {
-        aChannel->Send(protocol::LimitGrant{ ask->mId, Grant(ask->mAsk) });
+        aChannel->Send(
+          protocol::LimitGrant{ ask->mId, Grant(ask->mRequested) });
       } else if (const auto* back =
                    std::get_if<protocol::LimitReturn>(&*message)) {
         ReturnToShare(*back);
@@ -138,7 +139,7 @@
     }
   }
 
-  state::ShareGrant Grant(const state::ShareAsk& aAsk)
+  state::ShareGrant Grant(const state::ShareRequest& aAsk)
   {
     return mShares == nullptr ? state::ShareGrant{}
                               : mShares->Take(aAsk, mClock.Now());
@@ -160,7 +161,7 @@
     }
     const auto now = mClock.Now();
     if (const auto* ask = std::get_if<protocol::PlaceAsk>(&aMessage)) {
-      const auto grant = mLimits->Take(ask->mAsk, now);
+      const auto grant = mLimits->Take(ask->mRequested, now);
       aChannel.Send(protocol::PlaceGrant{ ask->mId, grant });
     } else if (const auto* back =
                  std::get_if<protocol::PlaceReturn>(&aMessage)) {
@@ -216,17 +217,17 @@
   void HandleCrashReports(const protocol::CrashReports& aReports)
   {
     const auto now = mClock.Now();
-    const bool isFirst = mPendingReports.mWords.empty();
-    for (const auto& update : aReports.mWords) {
+    const bool isFirst = mPendingReports.mUpdates.empty();
+    for (const auto& update : aReports.mUpdates) {
       const auto& report = update.mReport.mReport;
       const bool isNews = update.mIsCleared
                             ? !mCrashes.Clear(report.mRequest).empty()
                             : mCrashes.Note(report, now - update.mReport.mAge);
       if (isNews) {
-        mPendingReports.mWords.push_back(update);
+        mPendingReports.mUpdates.push_back(update);
       }
     }
-    if (isFirst && !mPendingReports.mWords.empty()) {
+    if (isFirst && !mPendingReports.mUpdates.empty()) {
       transport::Spawn(mContext, SendCrashesSoon());
     }
   }
@@ -246,10 +247,10 @@
   {
     protocol::CrashReports known;
     for (auto& report : mCrashes.Reports(mClock.Now())) {
-      if (known.mWords.size() >= kMaxCrashesSent) {
+      if (known.mUpdates.size() >= kMaxCrashesSent) {
         break;
       }
-      known.mWords.push_back({ std::move(report), false });
+      known.mUpdates.push_back({ std::move(report), false });
     }
     return known;
   }
@@ -312,17 +313,19 @@
                  const std::vector<std::string>& aLost)
   {
     auto news = NewsOfHolder(aHolder);
-    news.mIsWhole = false;
+    news.mIsFullSnapshot = false;
     const auto shouldSend = [&](const std::string& aPart) {
       return ShouldSend(aHolder, aPart);
     };
     std::copy_if(aGained.begin(),
                  aGained.end(),
-                 std::back_inserter(news.mGained),
+                 std::back_inserter(news.mAddedParts),
                  shouldSend);
-    std::copy_if(
-      aLost.begin(), aLost.end(), std::back_inserter(news.mLost), shouldSend);
-    if (!news.mGained.empty() || !news.mLost.empty()) {
+    std::copy_if(aLost.begin(),
+                 aLost.end(),
+                 std::back_inserter(news.mRemovedParts),
+                 shouldSend);
+    if (!news.mAddedParts.empty() || !news.mRemovedParts.empty()) {
       Send(news);
     }
   }
@@ -349,7 +352,7 @@
   {
     aNews.mWaiting = AllWaiting();
     aNews.mWaiting -= aOwn;
-    aNews.mRelays = static_cast<std::uint32_t>(mChannels.size());
+    aNews.mRelayCount = static_cast<std::uint32_t>(mChannels.size());
     return aNews;
   }
 
@@ -388,7 +391,7 @@
     const auto& parts = StateOf(aHolder).mParts;
     std::copy_if(parts.begin(),
                  parts.end(),
-                 std::back_inserter(news.mGained),
+                 std::back_inserter(news.mAddedParts),
                  [&](const auto& aPart) { return ShouldSend(aHolder, aPart); });
     return news;
   }
@@ -410,7 +413,7 @@
   void SendState()
   {
     auto news = NewsOfHolder(PartHolder::kEngine);
-    news.mIsWhole = false;
+    news.mIsFullSnapshot = false;
     mSentQueued = mQueued;
     Send(news);
   }
@@ -477,7 +480,7 @@
   }
   transport::Spawn(
     mShared->mContext,
-    transport::AcceptEach(*acceptor, [shared = mShared](auto aSocket) {
+    transport::AcceptLoop(*acceptor, [shared = mShared](auto aSocket) {
       const auto peer = std::make_shared<FrameChannel>(
         std::move(aSocket), "relay", shared->mCounters);
       transport::Spawn(shared->mContext, shared->Serve(peer));
@@ -526,7 +529,7 @@
 }
 
 void
-EngineNewsServer::SetLife(state::EndpointIncarnation aIncarnation)
+EngineNewsServer::SetIncarnation(state::EndpointIncarnation aIncarnation)
 {
   auto& incarnation =
     mShared->StateOf(PartHolder::kEngine).mEndpointIncarnation;
--- a/packages/coordination/src/fleet_daemon.cpp
+++ b/packages/coordination/src/fleet_daemon.cpp
@@ -168,9 +168,9 @@
     // Each return of this watch also reveals whether the endpoint list is
     // behind. The other half of the bound is left for reading the list again
     // and for requests that are being sent.
-    feed.mConfigWait =
-      std::min(state::ConfirmationWait(aSettings.mBounds.mKeyRemoval),
-               aSettings.mBounds.mEndpointLeaving / 2);
+    feed.mConfigWait = std::min(
+      state::ConfirmationWait(aSettings.mBounds.mKeyRevocationDeadline),
+      aSettings.mBounds.mDrainDeadline / 2);
     feed.mWatchesConfig = aSettings.mRole == FleetRole::kRelay;
     feed.mFollowsQuarantine = feed.mWatchesConfig;
     feed.mListPause = aSettings.mRole == FleetRole::kRelay
@@ -304,7 +304,7 @@
     state::LimitSharesSettings shares;
     // A relay whose list is not confirmed for longer than this refuses all
     // keys.
-    shares.mOwnership.mHandover = mSettings.mBounds.mKeyRemoval;
+    shares.mOwnership.mHandover = mSettings.mBounds.mKeyRevocationDeadline;
     shares.mBurstTolerance = mSettings.mBounds.mUsageTolerance / 2;
     mShares = std::make_unique<state::LimitShares>(shares, peers->mHost);
     mLimits =
--- a/packages/coordination/src/mirrored_platform.cpp
+++ b/packages/coordination/src/mirrored_platform.cpp
@@ -95,7 +95,7 @@
     SetMirrored(outcome == QueryOutcome::kUpdated && !HasRecentRequests());
     co_await transport::Sleep(state::JitteredPause(
       outcome == QueryOutcome::kNoResponse ? mSettings.mFallbackDuration
-                                           : mSettings.mAskInterval,
+                                           : mSettings.mQueryInterval,
       mRandom));
   }
 }
@@ -124,10 +124,10 @@
   // The meaning of these two fields depends on the peer: here they are the
   // sequence and the epoch of a mirror.
   protocol::SnapshotRequest request;
-  request.mHave = mSequence;
-  request.mHaveInstances = mEpoch;
+  request.mKnownVersion = mSequence;
+  request.mKnownInstances = mEpoch;
   const auto requestedAt = mClock.Now();
-  const auto reply = co_await mClient.Ask(aAddress, request);
+  const auto reply = co_await mClient.QuerySnapshot(aAddress, request);
   if (!reply) {
     co_return QueryOutcome::kNoResponse;
   }
@@ -299,10 +299,10 @@
 }
 
 void
-MirroredPlatform::AbandonCalls()
+MirroredPlatform::AbortPendingCalls()
 {
   WakeWaiters();
-  mStore.AbandonCalls();
+  mStore.AbortPendingCalls();
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/src/part_follower.cpp
+++ b/packages/coordination/src/part_follower.cpp
@@ -83,7 +83,7 @@
   // Only the last of several changes of a part counts.
   std::map<std::string, bool> last;
   for (const auto& change : aChanges.mChanges) {
-    last[PartName(change.mSalt, change.mPart)] = change.mIsKept;
+    last[PartName(change.mSalt, change.mPart)] = change.mIsStored;
   }
   std::vector<std::string> gained;
   std::vector<std::string> lost;
--- a/packages/coordination/src/relay.cpp
+++ b/packages/coordination/src/relay.cpp
@@ -45,7 +45,7 @@
     aSocket.close(ignored);
     return;
   }
-  transport::SetSilenceLimits(aSocket, transport::SilenceLimits{});
+  transport::SetDeadPeerTimeouts(aSocket, transport::DeadPeerTimeouts{});
   const auto session =
     std::make_shared<RelaySession>(aCore, std::move(aSocket));
   transport::Spawn(aCore->mDependencies.mContext, session->Run());
@@ -160,8 +160,8 @@
 {
   const auto age =
     mDependencies.mConfigConfirmed.Age(mDependencies.mClock.Now());
-  return age <
-         mDependencies.mSettings.mBounds.mKeyRemoval - mLimits.mFreshnessMargin;
+  return age < mDependencies.mSettings.mBounds.mKeyRevocationDeadline -
+                 mLimits.mFreshnessMargin;
 }
 
 void
@@ -297,7 +297,7 @@
 void
 Relay::ApplyNews(const protocol::EngineNews& aNews)
 {
-  mCore->UpdateRelayCount(aNews.mRelays);
+  mCore->UpdateRelayCount(aNews.mRelayCount);
   const auto restarted =
     mCore->mEndpoints.ApplyNews(aNews, mCore->mDependencies.mClock.Now());
   if (restarted) {
--- a/packages/coordination/src/relay_answer.cpp
+++ b/packages/coordination/src/relay_answer.cpp
@@ -8,9 +8,9 @@
 namespace shuntjunction::coordination {
 
 using state::RouteKind;
-using transport::ReadStep;
-using transport::RelayAnswer;
-using transport::RelayAnswerReader;
+using transport::ParseStatus;
+using transport::RelayResponse;
+using transport::RelayResponseReader;
 using transport::Task;
 
 namespace {
@@ -66,7 +66,7 @@
 {
   auto& reader = *aAttempt.mConnection.mReader;
   aAttempt.mAnswer =
-    std::make_unique<RelayAnswerReader>(mRequest->mMethod == "HEAD");
+    std::make_unique<RelayResponseReader>(mRequest->mMethod == "HEAD");
   while (true) {
     if (mInterrupt != RunInterrupt::kNone) {
       ApplyUnreadNotice(aAttempt);
@@ -81,14 +81,14 @@
       co_await reader.Wait(mDeadline);
       continue;
     }
-    if (*step == ReadStep::kBad) {
+    if (*step == ParseStatus::kMalformed) {
       co_return AttemptOutcome::kBroken;
     }
     if (const auto outcome = EvaluateHeadOnce(aAttempt, *step)) {
       co_return *outcome;
     }
     aAttempt.mEndpointChoice.mEndpoint->mLastBytesAt = Now();
-    const bool isDone = *step == ReadStep::kDone;
+    const bool isDone = *step == ParseStatus::kDone;
     if (aAttempt.mIsForeign) {
       SkipForeignAnswer(aAttempt, isDone);
       continue;
@@ -114,39 +114,39 @@
   }
 }
 
-std::optional<ReadStep>
+std::optional<ParseStatus>
 RelayRun::ReadBuffered(Attempt& aAttempt)
 {
   auto& reader = *aAttempt.mConnection.mReader;
-  ReadStep step = ReadStep::kNeedMore;
+  ParseStatus step = ParseStatus::kNeedMore;
   std::size_t consumed = 0;
   if (!reader.Buffered().empty()) {
     step = aAttempt.mAnswer->Put(reader.Buffered(), consumed);
     reader.Consume(consumed);
   }
-  if (step == ReadStep::kNeedMore && consumed == 0) {
+  if (step == ParseStatus::kNeedMore && consumed == 0) {
     // Anything still buffered is an incomplete element.
     if (!reader.IsClosed()) {
       return std::nullopt;
     }
-    if (!reader.IsEndedInOrder() || !aAttempt.mAnswer->EndOfConnection()) {
+    if (!reader.HasReachedEof() || !aAttempt.mAnswer->FinishAtEof()) {
       mLastProblem =
         aAttempt.mAnswer->HasBegun() ? "answer cut off" : "closed unanswered";
-      return ReadStep::kBad;
+      return ParseStatus::kMalformed;
     }
-    return ReadStep::kDone;
+    return ParseStatus::kDone;
   }
-  if (step == ReadStep::kBad) {
+  if (step == ParseStatus::kMalformed) {
     mLastProblem = "malformed answer";
   }
   return step;
 }
 
 std::optional<AttemptOutcome>
-RelayRun::EvaluateHeadOnce(Attempt& aAttempt, ReadStep aStep)
+RelayRun::EvaluateHeadOnce(Attempt& aAttempt, ParseStatus aStep)
 {
-  const bool isDone = aStep == ReadStep::kDone;
-  if (aAttempt.mIsHeadEvaluated || (!isDone && aStep != ReadStep::kHead)) {
+  const bool isDone = aStep == ParseStatus::kDone;
+  if (aAttempt.mIsHeadEvaluated || (!isDone && aStep != ParseStatus::kHead)) {
     return std::nullopt;
   }
   aAttempt.mIsHeadEvaluated = true;
@@ -198,7 +198,7 @@
   }
   std::size_t consumed = 0;
   const auto step = aAttempt.mAnswer->Put(reader.Buffered(), consumed);
-  if (step == ReadStep::kHead || step == ReadStep::kDone) {
+  if (step == ParseStatus::kHead || step == ParseStatus::kDone) {
     aAttempt.mAnswerInfo =
       mCore->mDependencies.mCodec.ReadAnswer(aAttempt.mAnswer->Head());
     ApplyNotice(aAttempt);
@@ -216,7 +216,7 @@
   }
   aAttempt.mIsForeignSkipped = true;
   aAttempt.mAnswer =
-    std::make_unique<RelayAnswerReader>(mRequest->mMethod == "HEAD");
+    std::make_unique<RelayResponseReader>(mRequest->mMethod == "HEAD");
   aAttempt.mIsHeadEvaluated = false;
   aAttempt.mIsForeign = false;
 }
@@ -422,14 +422,14 @@
 }
 
 std::string
-RelayRun::HeadText(const RelayAnswer& aAnswer,
+RelayRun::HeadText(const RelayResponse& aAnswer,
                    std::optional<std::size_t> aLength) const
 {
   std::string text = "HTTP/1.1 " + std::to_string(aAnswer.mStatus) + " " +
                      aAnswer.mReason + "\r\n";
   const auto connection = aAnswer.Field("Connection");
   for (const auto& field : aAnswer.mFields) {
-    if (!transport::IsConnectionField(field.mName, connection) &&
+    if (!transport::IsHopByHopField(field.mName, connection) &&
         !transport::IsSameName(field.mName, "Content-Length")) {
       text += field.mName + ": " + field.mValue + "\r\n";
     }
--- a/packages/coordination/src/relay_attempt.cpp
+++ b/packages/coordination/src/relay_attempt.cpp
@@ -40,7 +40,7 @@
             std::string_view aConnection,
             bool aIsResumed)
 {
-  return !transport::IsConnectionField(aName, aConnection) &&
+  return !transport::IsHopByHopField(aName, aConnection) &&
          !transport::IsSameName(aName, "Content-Length") &&
          !transport::IsSameName(aName, "Authorization") &&
          !transport::IsSameName(aName, "Expect") &&
@@ -235,8 +235,8 @@
   }
   const auto& settings = mCore->mEndpoints.Settings();
   const auto address = state::ParseAddress(endpoint.mInfo.mAddress);
-  const auto target =
-    transport::EndpointOf(address.value_or(state::Address{}), "relay.connect");
+  const auto target = transport::ToTcpEndpoint(
+    address.value_or(state::Address{}), "relay.connect");
   if (!target) {
     mLastProblem = "bad-address";
     co_return AttemptOutcome::kUnsent;
--- a/packages/coordination/src/relay_attempt.h
+++ b/packages/coordination/src/relay_attempt.h
@@ -23,7 +23,7 @@
   EndpointChoice mEndpointChoice;
   EndpointConnection mConnection;
   std::shared_ptr<OutgoingRequest> mOutgoing;
-  std::unique_ptr<transport::RelayAnswerReader> mAnswer;
+  std::unique_ptr<transport::RelayResponseReader> mAnswer;
   AnswerInfo mAnswerInfo;
   std::optional<HeldPermit> mPermit; ///< the permit that it used
   /// Set while the endpoint has not answered.
--- a/packages/coordination/src/relay_crashes.cpp
+++ b/packages/coordination/src/relay_crashes.cpp
@@ -82,7 +82,7 @@
 void
 RelayCrashes::ApplyReports(const protocol::CrashReports& aReports)
 {
-  for (const auto& word : aReports.mWords) {
+  for (const auto& word : aReports.mUpdates) {
     const auto& report = word.mReport.mReport;
     if (word.mIsCleared) {
       mOwnCrashes.erase(report.mRequest);
@@ -167,7 +167,7 @@
     return;
   }
   const bool isFirst = mPendingReports.empty();
-  mPendingReports[aReport.mEndpoint].mWords.push_back(
+  mPendingReports[aReport.mEndpoint].mUpdates.push_back(
     { { aReport, Millis(0) }, aIsCleared });
   if (isFirst) {
     transport::Spawn(mDependencies.mContext, FlushSoon());
@@ -192,7 +192,7 @@
 {
   const auto address = state::ParseAddress(aEndpoint->mInfo.mAddress);
   const auto target =
-    transport::EndpointOf(address.value_or(state::Address{}), "relay.check");
+    transport::ToTcpEndpoint(address.value_or(state::Address{}), "relay.check");
   if (!target) {
     co_return nullptr;
   }
--- a/packages/coordination/src/relay_endpoint.cpp
+++ b/packages/coordination/src/relay_endpoint.cpp
@@ -292,7 +292,10 @@
     }
     ApplyState(*found->second, aNews, aNow);
   }
-  mParts.Apply(aNews.mEndpoint, aNews.mIsWhole, aNews.mGained, aNews.mLost);
+  mParts.Apply(aNews.mEndpoint,
+               aNews.mIsFullSnapshot,
+               aNews.mAddedParts,
+               aNews.mRemovedParts);
   return restarted;
 }
 
@@ -302,8 +305,8 @@
                            TimePoint aNow)
 {
   aEndpoint.mNews = aNews;
-  aEndpoint.mNews->mGained.clear();
-  aEndpoint.mNews->mLost.clear();
+  aEndpoint.mNews->mAddedParts.clear();
+  aEndpoint.mNews->mRemovedParts.clear();
   aEndpoint.mNewsAt = aNow;
   aEndpoint.mIsNewsConnectionEnded = false;
   if (aNews.mPhase == protocol::EnginePhase::kDown) {
--- a/packages/coordination/src/relay_endpoint_choice.cpp
+++ b/packages/coordination/src/relay_endpoint_choice.cpp
@@ -141,7 +141,7 @@
     const auto& settings = mCore.mDependencies.mSettings;
     const auto superseded = mHistory->SupersededAt(aCandidate.mVersion);
     const auto limit =
-      settings.mBounds.mWeightsLimit - mCore.mLimits.mWeightsMargin;
+      settings.mBounds.mOldWeightsDeadline - mCore.mLimits.mWeightsMargin;
     if (superseded && mNow - *superseded >= limit) {
       return true;
     }
@@ -211,7 +211,7 @@
   const auto& name = aChoice.mPartName;
   const auto& zone = aChoice.mEndpoint->mInfo.mZone;
   const auto* own =
-    state::StoreOfPart(aCore.mView->mConfig->Rules().mKvStores, name, zone);
+    state::KvStoreOfPart(aCore.mView->mConfig->Rules().mKvStores, name, zone);
   const std::string ownStore = own == nullptr ? "" : own->mAddress;
   const std::string holdingStore = StoreHoldingPart(aCore, name, zone);
   const auto& record = aCore.mPartRecords.At(name);
--- a/packages/coordination/src/relay_feed_liveness.cpp
+++ b/packages/coordination/src/relay_feed_liveness.cpp
@@ -150,7 +150,7 @@
   for (auto* topic : topics) {
     topic->mIsAbandoned = topic->mAskedAt.has_value();
   }
-  mPlatform.AbandonCalls();
+  mPlatform.AbortPendingCalls();
 }
 
 std::array<RelayFeed::Topic*, 4>
--- a/packages/coordination/src/relay_limits.cpp
+++ b/packages/coordination/src/relay_limits.cpp
@@ -106,10 +106,10 @@
       ++(known == state::ShareState::kEmpty ? answer.mAsked : answer.mSilent);
       continue;
     }
-    const state::ShareAsk request{ source.mKey,
-                                   mTeam->mLimit,
-                                   mView->mConfig->Version(),
-                                   aAmount - answer.mReserved };
+    const state::ShareRequest request{ source.mKey,
+                                       mTeam->mLimit,
+                                       mView->mConfig->Version(),
+                                       aAmount - answer.mReserved };
     const auto askedAt = Now();
     std::optional<state::ShareGrant> grant;
     if (requestShare) {
--- a/packages/coordination/src/relay_rates.cpp
+++ b/packages/coordination/src/relay_rates.cpp
@@ -35,7 +35,7 @@
     mDependencies.mMetrics.Count("shuntjunction_relay_unreadable_rates_total");
     return;
   }
-  const bool isNamed = aRate.mNotice == RateNotice::kNamed;
+  const bool isNamed = aRate.mNotice == RateNotice::kAdvertised;
   if (isNamed) {
     SetRate(aEndpoint, aRate.mPerSecond);
   }
@@ -94,7 +94,7 @@
     grant = co_await mDependencies.mRequestPermit(
       owner->mHost, { owner->mName, aEndpoint->mRate->mPerSecond, aIsUrgent });
   }
-  const bool isGiven = grant && grant->mIsGiven;
+  const bool isGiven = grant && grant->mIsGranted;
   mDependencies.mMetrics.Count(
     "shuntjunction_relay_places_total",
     { { "outcome", !grant ? "silent" : (isGiven ? "given" : "none") } });
--- a/packages/coordination/src/relay_run.h
+++ b/packages/coordination/src/relay_run.h
@@ -197,10 +197,10 @@
   // An endpoint's answer.
   transport::Task<AttemptOutcome> ReadAnswer(Attempt& aAttempt);
   /// Parses the received bytes; empty when more are needed first.
-  std::optional<transport::ReadStep> ReadBuffered(Attempt& aAttempt);
+  std::optional<transport::ParseStatus> ReadBuffered(Attempt& aAttempt);
   /// Evaluates a complete head once; an outcome if the answer is not forwarded.
   std::optional<AttemptOutcome> EvaluateHeadOnce(Attempt& aAttempt,
-                                                 transport::ReadStep aStep);
+                                                 transport::ParseStatus aStep);
   /// Applies what an answer advertises, whatever becomes of the answer.
   void ApplyNotice(Attempt& aAttempt);
   /// The same for an answer that came while the run was interrupted.
@@ -226,7 +226,7 @@
                                std::string_view aReason,
                                std::optional<state::Millis> aRetryAfter = {});
   transport::Task<bool> WriteToCaller(std::string aBytes);
-  std::string HeadText(const transport::RelayAnswer& aAnswer,
+  std::string HeadText(const transport::RelayResponse& aAnswer,
                        std::optional<std::size_t> aLength) const;
   void AppendConnectionField(std::string& aHeader) const;
   void CloseCallerConnection();
--- a/packages/coordination/src/relay_session.cpp
+++ b/packages/coordination/src/relay_session.cpp
@@ -7,7 +7,7 @@
 namespace shuntjunction::coordination {
 
 using state::TimePoint;
-using transport::ReadStep;
+using transport::ParseStatus;
 using transport::RelayRequest;
 using transport::RelayRequestReader;
 using transport::Task;
@@ -103,14 +103,14 @@
       std::size_t consumed = 0;
       const auto step = aRequest.Put(bytes, consumed);
       mReader->Consume(consumed);
-      if (step == ReadStep::kDone) {
+      if (step == ParseStatus::kDone) {
         co_return true;
       }
-      if (step == ReadStep::kBad) {
+      if (step == ParseStatus::kMalformed) {
         co_await RefuseUnread(aRequest.RefusalStatus(), aRequest.Problem());
         co_return false;
       }
-      if (aRequest.WantsContinue() && !std::exchange(isContinued, true)) {
+      if (aRequest.ExpectsContinue() && !std::exchange(isContinued, true)) {
         co_await Write("HTTP/1.1 100 Continue\r\n\r\n");
         // Bytes that arrived meanwhile are buffered, and woke no reader.
         continue;
--- a/packages/coordination/src/request_intake.cpp
+++ b/packages/coordination/src/request_intake.cpp
@@ -161,7 +161,7 @@
     // new run.
     mSubmit.mKey = state::RandomNonce();
   }
-  mSubmit.mIsOnce = mIsNotRepeatable;
+  mSubmit.mIsAtMostOnce = mIsNotRepeatable;
   return std::nullopt;
 }
 
@@ -190,7 +190,7 @@
   mSink = call->mIsStream ? MakeStreamSink(mExchange, head, call->mWantsUsage)
                           : MakeBufferedSink(mExchange, head);
   mSubmit.mKind = aKind;
-  mSubmit.mServes = call->mModel;
+  mSubmit.mServedName = call->mModel;
   mSubmit.mIsStream = call->mIsStream;
   mSubmit.mMethod = "POST";
   mSubmit.mTarget = std::string(mExchange.Request().Path());
@@ -226,7 +226,7 @@
   }
   mSink = MakeServiceSink(mExchange, mRequestId);
   mSubmit.mKind = RequestKind::kService;
-  mSubmit.mServes = name;
+  mSubmit.mServedName = name;
   mSubmit.mMethod = request.mMethod;
   const std::size_t at = request.mTarget.find(name) + name.size();
   mSubmit.mTarget = request.mTarget.substr(at);
--- a/packages/coordination/src/request_run.cpp
+++ b/packages/coordination/src/request_run.cpp
@@ -27,10 +27,10 @@
 RequestRun::Serve()
 {
   mQuery.mTeam = mTeam->mName;
-  mQuery.mServes = mSubmit.mServes;
+  mQuery.mServedName = mSubmit.mServedName;
   mQuery.mLevels = mChain.mLevels;
   mQuery.mBlocks = static_cast<std::uint32_t>(mChain.mBlocks.size());
-  mExchange.OnGone([this] {
+  mExchange.OnDisconnect([this] {
     mIsCallerGone = true;
     if (mMailbox) {
       mMailbox->Push(AttemptEvent(ClientDisconnected{}));
--- a/packages/coordination/src/router.cpp
+++ b/packages/coordination/src/router.cpp
@@ -257,7 +257,7 @@
     round->mResults.push_back({ handle });
   }
   protocol::Probe probe;
-  probe.mServesHash = protocol::ServesHash(aQuery.mServes);
+  probe.mServedNameHash = protocol::ServedNameHash(aQuery.mServedName);
   probe.mPriority = aPriority;
   probe.mLevels.assign(aQuery.mLevels.begin(), aQuery.mLevels.end());
   for (std::size_t i = 0; i < round->mResults.size(); ++i) {
@@ -322,7 +322,7 @@
                std::vector<EndpointHandle> aExcluded)
 {
   const TimePoint now = mClock.Now();
-  auto usable = mTable.Usable(aQuery.mServes, now);
+  auto usable = mTable.Usable(aQuery.mServedName, now);
   std::erase_if(usable, [&](EndpointHandle aHandle) {
     return std::find(aExcluded.begin(), aExcluded.end(), aHandle) !=
            aExcluded.end();
@@ -362,11 +362,11 @@
   const auto chain = state::BuildPrefixChain(scope, call->mLevels);
   ChoiceQuery query;
   query.mTeam = aTeam;
-  query.mServes = call->mModel;
+  query.mServedName = call->mModel;
   query.mLevels = chain.mLevels;
   query.mBlocks = static_cast<std::uint32_t>(chain.mBlocks.size());
   const TimePoint now = mClock.Now();
-  const auto usable = mTable.Usable(query.mServes, now);
+  const auto usable = mTable.Usable(query.mServedName, now);
   const auto candidates = mChooser->Candidates(
     query, usable, mSettings.mRouter.mChooser.mProbes, now);
   const auto probed = co_await ProbeAll(query, Priority::kOrdinary, candidates);
--- a/packages/coordination/src/snapshot_client.cpp
+++ b/packages/coordination/src/snapshot_client.cpp
@@ -47,9 +47,10 @@
 }
 
 Task<Result<protocol::SnapshotReply>>
-SnapshotClient::Ask(std::string aAddress, protocol::SnapshotRequest aHave)
+SnapshotClient::QuerySnapshot(std::string aAddress,
+                              protocol::SnapshotRequest aHave)
 {
-  const auto opened = co_await Open(aAddress, aHave.mHave);
+  const auto opened = co_await Open(aAddress, aHave.mKnownVersion);
   if (!opened) {
     co_return tl::unexpected(opened.error());
   }
--- a/packages/coordination/src/snapshot_server.cpp
+++ b/packages/coordination/src/snapshot_server.cpp
@@ -69,7 +69,7 @@
   }
   transport::Spawn(
     mShared->mContext,
-    transport::AcceptEach(*acceptor, [shared = mShared](auto aSocket) {
+    transport::AcceptLoop(*acceptor, [shared = mShared](auto aSocket) {
       const auto peer = std::make_shared<FrameChannel>(
         std::move(aSocket), "asker", shared->mCounters);
       transport::Spawn(shared->mContext, shared->Serve(peer));
--- a/packages/coordination/src/weights_controller.cpp
+++ b/packages/coordination/src/weights_controller.cpp
@@ -79,7 +79,7 @@
       co_await WaitFor(
         std::chrono::ceil<Millis>(task->mStartAt - drainLead - now));
     } else if (now < task->mStartAt) {
-      ReportPhase(EnginePhase::kClosing);
+      ReportPhase(EnginePhase::kDraining);
       co_await WaitFor(std::chrono::ceil<Millis>(task->mStartAt - now));
     } else {
       ReportPhase(EnginePhase::kLoading);
@@ -240,7 +240,7 @@
   order.mVersion = aTask.mWeights.mVersion;
   order.mHolder = mDependencies.mSettings.mName;
   order.mFence = ++mFence;
-  order.mOrdersTaken = report->mOrdersTaken;
+  order.mOrdersAccepted = report->mOrdersAccepted;
   const auto outcome = co_await mDependencies.mEngine.Order(order);
   mDependencies.mLog.Write(EventLine(kComponent, "order")
                              .Add("endpoint", order.mEndpointId)
--- a/packages/coordination/src/zone_mirror.cpp
+++ b/packages/coordination/src/zone_mirror.cpp
@@ -47,12 +47,12 @@
                      aCodec.WeightsPrefix() };
   zone.mConfirmed = aCodec.ConfigPrefix();
   const auto& bounds = aSettings.mBounds;
-  zone.mAskInterval =
-    std::min(zone.mAskInterval, bounds.mEndpointLeaving / kQueriesPerLeaving);
+  zone.mQueryInterval =
+    std::min(zone.mQueryInterval, bounds.mDrainDeadline / kQueriesPerLeaving);
   zone.mResponseTimeout = std::min(
-    zone.mResponseTimeout, bounds.mEndpointLeaving / kResponsesPerLeaving);
+    zone.mResponseTimeout, bounds.mDrainDeadline / kResponsesPerLeaving);
   zone.mMaxAge =
-    std::min(zone.mMaxAge, bounds.mKeyRemoval / kAgesPerKeyRemoval);
+    std::min(zone.mMaxAge, bounds.mKeyRevocationDeadline / kAgesPerKeyRemoval);
   return zone;
 }
 
@@ -99,8 +99,8 @@
 {
   mPlatform.NoteRequest();
   aFeed.BeginWatching();
-  const auto update =
-    mMirror.UpdateSince(aRequest.mHaveInstances, aRequest.mHave, mClock.Now());
+  const auto update = mMirror.UpdateSince(
+    aRequest.mKnownInstances, aRequest.mKnownVersion, mClock.Now());
   return { update.mSequence, state::WriteMirrorUpdate(update), {} };
 }
 
--- a/packages/coordination/tests/engine_news_test.cpp
+++ b/packages/coordination/tests/engine_news_test.cpp
@@ -32,7 +32,7 @@
         [this](const PartReading& aReading) { mReadings.push_back(aReading); },
         [this](const protocol::CrashReports& aReports) {
           mCrashes.insert(
-            mCrashes.end(), aReports.mWords.begin(), aReports.mWords.end());
+            mCrashes.end(), aReports.mUpdates.begin(), aReports.mUpdates.end());
         },
         [this](const state::RateNews& aNews) { mRates.push_back(aNews); },
         [this](const std::string& aHost) { mEnded.push_back(aHost); })
@@ -48,7 +48,7 @@
 
   std::vector<EngineNews> mNews;
   std::vector<PartReading> mReadings;
-  std::vector<protocol::CrashWord> mCrashes;
+  std::vector<protocol::CrashUpdate> mCrashes;
   std::vector<state::RateNews> mRates;
   /// Hosts whose companion ended its connection.
   std::vector<std::string> mEnded;
@@ -77,7 +77,7 @@
     mServer.ChangeParts(PartHolder::kEngine, {}, { aPart }, {});
     mOne.mClient.SetWaiting(Listener::kEngine, {}, aPart);
     Await([&] {
-      return mTwo.mNews.back().mGained == std::vector<std::string>{ aPart };
+      return mTwo.mNews.back().mAddedParts == std::vector<std::string>{ aPart };
     });
     mServer.ChangeParts(PartHolder::kEngine, {}, {}, { aPart });
   }
@@ -111,7 +111,7 @@
   const auto receives = [&](const std::string& aPart) {
     return std::any_of(
       mTwo.mNews.begin(), mTwo.mNews.end(), [&](const auto& aNews) {
-        const auto& gained = aNews.mGained;
+        const auto& gained = aNews.mAddedParts;
         return std::find(gained.begin(), gained.end(), aPart) != gained.end();
       });
   };
@@ -124,7 +124,8 @@
   RequestPart("s/a");
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/a" }, {});
   const auto hasGained = [](const Listener& aListener) {
-    return aListener.mNews.back().mGained == std::vector<std::string>{ "s/a" };
+    return aListener.mNews.back().mAddedParts ==
+           std::vector<std::string>{ "s/a" };
   };
   Await([&] { return hasGained(mOne) && hasGained(mTwo); });
 }
@@ -143,7 +144,7 @@
     RequestPart("s/b");
     mServer.ChangeParts(PartHolder::kEngine, {}, { "s/b" }, {});
     Await([&] {
-      return mOne.mNews.back().mGained == std::vector<std::string>{ "s/b" };
+      return mOne.mNews.back().mAddedParts == std::vector<std::string>{ "s/b" };
     });
   }
 }
@@ -156,7 +157,7 @@
   void SendPartReading(bool aIsCleared)
   {
     protocol::CrashReports reports;
-    reports.mWords.push_back(
+    reports.mUpdates.push_back(
       { { { mRequest, kCrashed }, Millis(0) }, aIsCleared });
     mOne.mClient.SendCrashReports(kCrashed, reports);
   }
@@ -247,12 +248,12 @@
   WhoseEngineStartedAgain()
   {
     mServer.SetState({ "i-1", "m", 1, protocol::EnginePhase::kOpen });
-    mServer.SetLife(mFormer);
+    mServer.SetIncarnation(mFormer);
     RequestPart("s/a");
     RequestPart("s/b");
     RequestPart("s/c");
     mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/a" }, {});
-    mServer.SetLife(mNow);
+    mServer.SetIncarnation(mNow);
     Await([this] { return mOne.mNews.back().mEndpointIncarnation == mNow; });
   }
 
@@ -262,16 +263,16 @@
 
 TEST_F(WhoseEngineStartedAgain, RelaysReceiveAnEmptyListOfParts)
 {
-  EXPECT_TRUE(mOne.mNews.back().mIsWhole);
-  EXPECT_TRUE(mOne.mNews.back().mGained.empty());
+  EXPECT_TRUE(mOne.mNews.back().mIsFullSnapshot);
+  EXPECT_TRUE(mOne.mNews.back().mAddedParts.empty());
 }
 
 TEST_F(WhoseEngineStartedAgain, PartsOfItsFormerLifeAreNotSent)
 {
   mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/b" }, {});
   mServer.ChangeParts(PartHolder::kEngine, mNow, { "s/c" }, {});
-  Await([this] { return !mOne.mNews.back().mGained.empty(); });
-  EXPECT_EQ(mOne.mNews.back().mGained, std::vector<std::string>{ "s/c" });
+  Await([this] { return !mOne.mNews.back().mAddedParts.empty(); });
+  EXPECT_EQ(mOne.mNews.back().mAddedParts, std::vector<std::string>{ "s/c" });
 }
 
 } // namespace shuntjunction::coordination
--- a/packages/coordination/tests/fake_platform.h
+++ b/packages/coordination/tests/fake_platform.h
@@ -100,7 +100,7 @@
     return List(std::move(aPrefix));
   }
 
-  void AbandonCalls() override {}
+  void AbortPendingCalls() override {}
 
   std::map<std::string, state::RawObject> mObjects;
   WriteFault mNextWrite = WriteFault::kNone;
--- a/packages/protocol/include/shuntjunction/protocol/messages.h
+++ b/packages/protocol/include/shuntjunction/protocol/messages.h
@@ -22,15 +22,15 @@
 inline constexpr std::uint16_t kProtocolVersion = 1;
 
 /// Oldest version that it still understands.
-inline constexpr std::uint16_t kOldestVersion = 1;
+inline constexpr std::uint16_t kMinProtocolVersion = 1;
 
 /// Names a model or service in a probe, where bytes are scarce.
 ///
 /// Two names may share a hash: it spares a question, and decides nothing.
 inline std::uint32_t
-ServesHash(std::string_view aServes)
+ServedNameHash(std::string_view aServedName)
 {
-  return static_cast<std::uint32_t>(state::PlacementHash(aServes));
+  return static_cast<std::uint32_t>(state::PlacementHash(aServedName));
 }
 
 /// Names a request on one connection.
@@ -65,7 +65,7 @@
 struct Probe
 {
   StreamId mId = 0;
-  std::uint32_t mServesHash = 0; ///< ServesHash of the model or service
+  std::uint32_t mServedNameHash = 0; ///< ServedNameHash of the model or service
   state::Priority mPriority = state::Priority::kOrdinary;
   std::vector<state::PrefixLevel> mLevels;
   std::uint64_t mConfigVersion = 0;
@@ -89,12 +89,12 @@
   std::uint32_t mAttempt = 0;
   std::string mRequestId;
   std::string mTeam;
-  std::string mServes; ///< model or service
+  std::string mServedName; ///< model or service
   state::RequestKind mKind = state::RequestKind::kChat;
   state::Priority mPriority = state::Priority::kOrdinary;
   std::uint32_t mWeightsVersion = 0;
   std::uint32_t mDeadlineMs = 0; ///< left until its first token is due
-  bool mIsOnce = false;          ///< marked as not repeatable
+  bool mIsAtMostOnce = false;    ///< marked as not repeatable
   std::string mKey;              ///< idempotency key; empty when none
   bool mIsStream = false;
   std::uint32_t mResumeOffset = 0; ///< tokens that the caller has already
@@ -194,8 +194,8 @@
 /// Asks for configuration and instances if either is newer.
 struct SnapshotRequest
 {
-  std::uint64_t mHave = 0;          ///< ConfigVersion::Packed
-  std::uint64_t mHaveInstances = 0; ///< revision of the list
+  std::uint64_t mKnownVersion = 0;   ///< ConfigVersion::Packed
+  std::uint64_t mKnownInstances = 0; ///< revision of the list
 };
 
 /// The configuration in force and the instances, as far as they are newer.
@@ -209,10 +209,10 @@
 /// What an engine can take, as its companion knows it.
 enum class EnginePhase : std::uint8_t
 {
-  kOpen,    ///< takes work
-  kClosing, ///< ends what runs; its weights are about to change
-  kLoading, ///< loads weights
-  kDown,    ///< does not answer its companion
+  kOpen,     ///< takes work
+  kDraining, ///< ends what runs; its weights are about to change
+  kLoading,  ///< loads weights
+  kDown,     ///< does not answer its companion
 };
 
 /// Names of EnginePhase.
@@ -231,12 +231,12 @@
   EnginePhase mPhase = EnginePhase::kOpen;
   std::uint32_t mRunning = 0;
   std::uint32_t mQueued = 0;
-  bool mIsWhole = true;             ///< mGained is all that it keeps
-  std::vector<std::string> mGained; ///< parts that it keeps now
-  std::vector<std::string> mLost;   ///< parts that it keeps no more
+  bool mIsFullSnapshot = true;            ///< mAddedParts is all that it keeps
+  std::vector<std::string> mAddedParts;   ///< parts that it keeps now
+  std::vector<std::string> mRemovedParts; ///< parts that it keeps no more
   /// Prompt tokens there of the relays other than the one that is told.
   state::WaitingTokens mWaiting;
-  std::uint32_t mRelays = 0; ///< that the companion tells; 0: not known
+  std::uint32_t mRelayCount = 0; ///< that the companion tells; 0: not known
   state::EndpointIncarnation mEndpointIncarnation; ///< of the engine
 };
 
@@ -261,7 +261,7 @@
 
 /// A crash of an endpoint while a request ran there, as one process tells it to
 /// another; or that the request ended well, and is innocent.
-struct CrashWord
+struct CrashUpdate
 {
   state::AgedCrashReport mReport;
   bool mIsCleared = false; ///< no endpoint crashes under it: forget this crash
@@ -270,14 +270,14 @@
 /// What relays saw of crashes, in order; companions pass it on to all relays.
 struct CrashReports
 {
-  std::vector<CrashWord> mWords;
+  std::vector<CrashUpdate> mUpdates;
 };
 
 /// Asks a companion for a part of a team's limit.
 struct LimitAsk
 {
   std::uint32_t mId = 0; ///< of the answer
-  state::ShareAsk mAsk;
+  state::ShareRequest mRequested;
 };
 
 /// Answer to a LimitAsk.
@@ -310,7 +310,7 @@
 struct PlaceAsk
 {
   std::uint32_t mId = 0; ///< of the answer
-  state::PlaceAsk mAsk;
+  state::PlaceAsk mRequested;
 };
 
 /// Answer to a PlaceAsk.
--- a/packages/protocol/src/codec_pack.cpp
+++ b/packages/protocol/src/codec_pack.cpp
@@ -68,7 +68,7 @@
   const auto levels = PackLevels(aBuilder, aMessage.mLevels);
   return wire::CreateProbe(aBuilder,
                            aMessage.mId,
-                           aMessage.mServesHash,
+                           aMessage.mServedNameHash,
                            static_cast<std::uint8_t>(aMessage.mPriority),
                            levels,
                            aMessage.mConfigVersion)
@@ -93,7 +93,7 @@
 {
   const auto requestId = aBuilder.CreateString(aMessage.mRequestId);
   const auto team = aBuilder.CreateString(aMessage.mTeam);
-  const auto serves = aBuilder.CreateString(aMessage.mServes);
+  const auto serves = aBuilder.CreateString(aMessage.mServedName);
   const auto key = aBuilder.CreateString(aMessage.mKey);
   const auto resumeText = aBuilder.CreateString(aMessage.mResumeText);
   const auto method = aBuilder.CreateString(aMessage.mMethod);
@@ -110,7 +110,7 @@
   submit.add_priority(static_cast<std::uint8_t>(aMessage.mPriority));
   submit.add_weights_version(aMessage.mWeightsVersion);
   submit.add_deadline_ms(aMessage.mDeadlineMs);
-  submit.add_once(aMessage.mIsOnce);
+  submit.add_once(aMessage.mIsAtMostOnce);
   submit.add_key(key);
   submit.add_stream(aMessage.mIsStream);
   submit.add_resume_offset(aMessage.mResumeOffset);
@@ -228,7 +228,7 @@
 Pack(FlatBufferBuilder& aBuilder, const SnapshotRequest& aMessage)
 {
   return wire::CreateSnapshotRequest(
-           aBuilder, aMessage.mHave, aMessage.mHaveInstances)
+           aBuilder, aMessage.mKnownVersion, aMessage.mKnownInstances)
     .Union();
 }
 
@@ -257,8 +257,8 @@
 {
   const auto endpoint = aBuilder.CreateString(aMessage.mEndpoint);
   const auto model = aBuilder.CreateString(aMessage.mModel);
-  const auto gained = aBuilder.CreateVectorOfStrings(aMessage.mGained);
-  const auto lost = aBuilder.CreateVectorOfStrings(aMessage.mLost);
+  const auto gained = aBuilder.CreateVectorOfStrings(aMessage.mAddedParts);
+  const auto lost = aBuilder.CreateVectorOfStrings(aMessage.mRemovedParts);
   const auto waiting = PackWaiting(aBuilder, aMessage.mWaiting);
   return wire::CreateEngineNews(aBuilder,
                                 endpoint,
@@ -267,11 +267,11 @@
                                 static_cast<std::uint8_t>(aMessage.mPhase),
                                 aMessage.mRunning,
                                 aMessage.mQueued,
-                                aMessage.mIsWhole,
+                                aMessage.mIsFullSnapshot,
                                 gained,
                                 lost,
                                 waiting,
-                                aMessage.mRelays,
+                                aMessage.mRelayCount,
                                 aMessage.mEndpointIncarnation.StartedAt())
     .Union();
 }
@@ -305,8 +305,8 @@
 Pack(FlatBufferBuilder& aBuilder, const CrashReports& aMessage)
 {
   std::vector<Offset<wire::CrashReport>> reports;
-  reports.reserve(aMessage.mWords.size());
-  for (const auto& word : aMessage.mWords) {
+  reports.reserve(aMessage.mUpdates.size());
+  for (const auto& word : aMessage.mUpdates) {
     const auto& report = word.mReport.mReport;
     const auto request = aBuilder.CreateString(report.mRequest.Text());
     reports.push_back(wire::CreateCrashReport(aBuilder,
@@ -322,7 +322,7 @@
 Offset<void>
 Pack(FlatBufferBuilder& aBuilder, const LimitAsk& aMessage)
 {
-  const auto& ask = aMessage.mAsk;
+  const auto& ask = aMessage.mRequested;
   return wire::CreateLimitAsk(aBuilder,
                               aMessage.mId,
                               ask.mKey.mLimit,
@@ -362,7 +362,7 @@
                                 report.mEndpoint.mHash,
                                 report.mEndpoint.mIsOnSameHost,
                                 report.mRate.mNotice ==
-                                  state::RateNotice::kNamed,
+                                  state::RateNotice::kAdvertised,
                                 report.mRate.mPerSecond,
                                 report.mRateVersion)
     .Union();
@@ -382,7 +382,7 @@
 Offset<void>
 Pack(FlatBufferBuilder& aBuilder, const PlaceAsk& aMessage)
 {
-  const auto& ask = aMessage.mAsk;
+  const auto& ask = aMessage.mRequested;
   return wire::CreatePlaceAsk(aBuilder,
                               aMessage.mId,
                               ask.mEndpoint.mHash,
@@ -398,7 +398,7 @@
   const auto& grant = aMessage.mGrant;
   return wire::CreatePlaceGrant(aBuilder,
                                 aMessage.mId,
-                                grant.mIsGiven,
+                                grant.mIsGranted,
                                 grant.mRateVersion,
                                 WholeMillis(grant.mRefill))
     .Union();
--- a/packages/protocol/src/codec_unpack.cpp
+++ b/packages/protocol/src/codec_unpack.cpp
@@ -106,13 +106,13 @@
   submit.mAttempt = aWire.attempt();
   submit.mRequestId = TextOf(aWire.request_id());
   submit.mTeam = TextOf(aWire.team());
-  submit.mServes = TextOf(aWire.serves());
+  submit.mServedName = TextOf(aWire.serves());
   submit.mKind = EnumOf(
     aWire.kind(), state::kRequestKindNames, state::RequestKind::kService);
   submit.mPriority = PriorityOf(aWire.priority());
   submit.mWeightsVersion = aWire.weights_version();
   submit.mDeadlineMs = aWire.deadline_ms();
-  submit.mIsOnce = aWire.once();
+  submit.mIsAtMostOnce = aWire.once();
   submit.mKey = TextOf(aWire.key());
   submit.mIsStream = aWire.stream();
   submit.mResumeOffset = aWire.resume_offset();
@@ -288,9 +288,10 @@
   for (const auto* report : *aWire.reports()) {
     auto request = state::RequestDigest::Parse(TextOf(report->request()));
     if (request) {
-      message.mWords.push_back({ { { std::move(*request), report->endpoint() },
-                                   state::Millis(report->age_ms()) },
-                                 report->is_cleared() });
+      message.mUpdates.push_back(
+        { { { std::move(*request), report->endpoint() },
+            state::Millis(report->age_ms()) },
+          report->is_cleared() });
     }
   }
   return message;
@@ -329,8 +330,8 @@
 RateReport
 Unpack(const wire::RateReport& aWire)
 {
-  const auto notice =
-    aWire.is_named() ? state::RateNotice::kNamed : state::RateNotice::kAbsent;
+  const auto notice = aWire.is_named() ? state::RateNotice::kAdvertised
+                                       : state::RateNotice::kAbsent;
   return { { { aWire.endpoint(), aWire.is_beside() },
              { notice, LimitNumber(aWire.per_second()) },
              aWire.edition() } };
--- a/packages/protocol/tests/codec_test.cpp
+++ b/packages/protocol/tests/codec_test.cpp
@@ -30,12 +30,12 @@
   submit.mAttempt = 3;
   submit.mRequestId = "request";
   submit.mTeam = "team";
-  submit.mServes = "model";
+  submit.mServedName = "model";
   submit.mKind = state::RequestKind::kCompletion;
   submit.mPriority = state::Priority::kUrgent;
   submit.mWeightsVersion = 9;
   submit.mDeadlineMs = 630;
-  submit.mIsOnce = true;
+  submit.mIsAtMostOnce = true;
   submit.mKey = "key";
   submit.mResumeOffset = 5;
   submit.mResumeText = " w1 w2";
@@ -50,14 +50,14 @@
   EXPECT_EQ(passed.mResumeText, submit.mResumeText);
   EXPECT_EQ(passed.mDeadlineMs, submit.mDeadlineMs);
   EXPECT_EQ(passed.mConfigVersion, submit.mConfigVersion);
-  EXPECT_TRUE(passed.mIsOnce);
+  EXPECT_TRUE(passed.mIsAtMostOnce);
 }
 
 TEST(GivenMessages, ProbesAndTheirRepliesPassWhole)
 {
   Probe probe;
   probe.mId = 4;
-  probe.mServesHash = ServesHash("m");
+  probe.mServedNameHash = ServedNameHash("m");
   probe.mLevels = { { 11, 12 }, { 13, 14 } };
   EXPECT_EQ(Passed(probe).mLevels, probe.mLevels);
   ProbeReply reply{ 4, true, 36, 123456, 4000, 77 };
@@ -71,18 +71,18 @@
   EngineNews news{ "i-1", "m",   7,         EnginePhase::kLoading, 3,
                    4,     false, { "s/a" }, { "s/b", "s/c" },      {} };
   news.mWaiting.Add(2, 5000);
-  news.mRelays = 103;
+  news.mRelayCount = 103;
   const auto passed = Passed(news);
   EXPECT_EQ(passed.mEndpoint, "i-1");
   EXPECT_EQ(passed.mWeights, 7U);
   EXPECT_EQ(passed.mPhase, EnginePhase::kLoading);
   EXPECT_EQ(passed.mRunning, 3U);
   EXPECT_EQ(passed.mQueued, 4U);
-  EXPECT_FALSE(passed.mIsWhole);
-  EXPECT_EQ(passed.mGained, news.mGained);
-  EXPECT_EQ(passed.mLost, news.mLost);
+  EXPECT_FALSE(passed.mIsFullSnapshot);
+  EXPECT_EQ(passed.mAddedParts, news.mAddedParts);
+  EXPECT_EQ(passed.mRemovedParts, news.mRemovedParts);
   EXPECT_EQ(passed.mWaiting, news.mWaiting);
-  EXPECT_EQ(passed.mRelays, 103U);
+  EXPECT_EQ(passed.mRelayCount, 103U);
 }
 
 TEST(GivenMessages, WhatARelayHasWaitingPassesWhole)
@@ -105,11 +105,11 @@
 {
   const state::RequestDigest request({ "POST", "h", "/p", "team", "body" });
   CrashReports told;
-  told.mWords.push_back({ { { request, 1ULL << 63 }, state::Millis(70) } });
-  told.mWords.push_back({ { { request, 5 }, state::Millis(0) }, true });
-  told.mWords.push_back(
+  told.mUpdates.push_back({ { { request, 1ULL << 63 }, state::Millis(70) } });
+  told.mUpdates.push_back({ { { request, 5 }, state::Millis(0) }, true });
+  told.mUpdates.push_back(
     { { { state::RequestDigest(), 5 }, state::Millis(0) } });
-  const auto passed = Passed(told).mWords;
+  const auto passed = Passed(told).mUpdates;
   {
     SCOPED_TRACE("but for words of no request");
     ASSERT_EQ(passed.size(), 2U);
@@ -126,10 +126,10 @@
   const state::ShareKey key{ 1ULL << 63, 3 };
   const auto ask = Passed(LimitAsk{ 7, { key, { 450000, 90000 }, 12, 9200 } });
   EXPECT_EQ(ask.mId, 7U);
-  EXPECT_EQ(ask.mAsk.mKey, key);
-  EXPECT_EQ(ask.mAsk.mLimit, (state::UsageLimit{ 450000, 90000 }));
-  EXPECT_EQ(ask.mAsk.mVersion, 12U);
-  EXPECT_EQ(ask.mAsk.mAmount, 9200U);
+  EXPECT_EQ(ask.mRequested.mKey, key);
+  EXPECT_EQ(ask.mRequested.mLimit, (state::UsageLimit{ 450000, 90000 }));
+  EXPECT_EQ(ask.mRequested.mVersion, 12U);
+  EXPECT_EQ(ask.mRequested.mAmount, 9200U);
   const auto grant = Passed(LimitGrant{ 7, { 4000, state::Millis(12) } });
   EXPECT_EQ(grant.mGrant.mAmount, 4000U);
   EXPECT_EQ(grant.mGrant.mRefill, state::Millis(12));
@@ -153,8 +153,8 @@
 {
   constexpr double kNone = std::numeric_limits<double>::quiet_NaN();
   const auto ask = Passed(LimitAsk{ 1, { {}, { kNone, -5 }, 1, 1 } });
-  EXPECT_FALSE(ask.mAsk.mLimit.IsLimited());
-  EXPECT_EQ(ask.mAsk.mLimit.mBurst, 0);
+  EXPECT_FALSE(ask.mRequested.mLimit.IsLimited());
+  EXPECT_EQ(ask.mRequested.mLimit.mBurst, 0);
 }
 
 TEST(GivenMessages, AProbeStaysWithinItsShareOfTheControlBudget)
@@ -164,7 +164,7 @@
   // configuration.
   Probe probe;
   probe.mId = 1ULL << 40;
-  probe.mServesHash = ServesHash("a-model-of-usual-name");
+  probe.mServedNameHash = ServedNameHash("a-model-of-usual-name");
   probe.mLevels.resize(2);
   const ProbeReply reply{ 1ULL << 40, true, 36, 123456, 4000 };
   EXPECT_LE(2 * (Encode(probe).size() + Encode(reply).size()), 440U);
--- a/packages/state/include/shuntjunction/state/endpoint_chooser.h
+++ b/packages/state/include/shuntjunction/state/endpoint_chooser.h
@@ -21,7 +21,7 @@
 
 /// Rendezvous key of a team and the model or service it uses.
 std::uint64_t
-TeamPlacementKey(std::string_view aTeam, std::string_view aServes);
+TeamPlacementKey(std::string_view aTeam, std::string_view aServedName);
 
 /// Order in which endpoints are offered a prefix without recorded demand:
 /// picks the team's group of aWidth endpoints, then orders it by each prompt
@@ -53,7 +53,7 @@
 struct ChoiceQuery
 {
   std::string mTeam;
-  std::string mServes; ///< model or service
+  std::string mServedName; ///< model or service
   std::span<const PrefixLevel> mLevels;
   std::uint32_t mBlocks = 0; ///< of the whole prompt
 };
--- a/packages/state/include/shuntjunction/state/endpoint_limits.h
+++ b/packages/state/include/shuntjunction/state/endpoint_limits.h
@@ -46,7 +46,7 @@
 /// The owner's reply to a PlaceAsk.
 struct PlaceGrant
 {
-  bool mIsGiven = false;
+  bool mIsGranted = false;
   /// Version of the rate when the permit was granted; see RateReport.
   std::uint32_t mRateVersion = 0;
   Millis mRefill{ 0 }; ///< until a permit may be free; if denied
--- a/packages/state/include/shuntjunction/state/endpoint_rate.h
+++ b/packages/state/include/shuntjunction/state/endpoint_rate.h
@@ -12,7 +12,7 @@
 enum class RateNotice : std::uint8_t
 {
   kAbsent,     ///< no rate given
-  kNamed,      ///< a rate is given
+  kAdvertised, ///< a rate is given
   kUnreadable, ///< invalid value: neither sets nor ends a limit
 };
 
--- a/packages/state/include/shuntjunction/state/endpoint_table.h
+++ b/packages/state/include/shuntjunction/state/endpoint_table.h
@@ -83,7 +83,8 @@
               const std::vector<InstanceInfo>& aInstances);
 
   /// Endpoints of a model or service that may get new work, in any order.
-  std::vector<EndpointHandle> Usable(std::string_view aServes, TimePoint aNow);
+  std::vector<EndpointHandle> Usable(std::string_view aServedName,
+                                     TimePoint aNow);
 
   /// Whether an endpoint is listed and neither leaving nor ejected.
   bool IsUsable(const EndpointEntry& aEntry, TimePoint aNow) const;
--- a/packages/state/include/shuntjunction/state/limit_shares.h
+++ b/packages/state/include/shuntjunction/state/limit_shares.h
@@ -40,7 +40,7 @@
 HashOfTeam(std::string_view aTeam);
 
 /// A relay's request for part of a share.
-struct ShareAsk
+struct ShareRequest
 {
   ShareKey mKey;
   UsageLimit mLimit;          ///< the team's whole limit, as known to the relay
@@ -48,7 +48,7 @@
   std::uint32_t mAmount = 0;  ///< requested amount
 };
 
-/// A companion's reply to a ShareAsk.
+/// A companion's reply to a ShareRequest.
 struct ShareGrant
 {
   std::uint32_t mAmount = 0; ///< at most the requested amount
@@ -82,7 +82,7 @@
 
   /// Grants what is available of a share; nothing of a share that this
   /// companion does not own.
-  ShareGrant Take(const ShareAsk& aAsk, TimePoint aNow);
+  ShareGrant Take(const ShareRequest& aAsk, TimePoint aNow);
 
   /// Returns a granted amount that was not used.
   void GiveBack(const ShareKey& aKey, std::uint32_t aAmount);
@@ -101,7 +101,7 @@
   };
 
   UsageLimit LimitOfShare(const UsageLimit& aWhole) const;
-  Share& ShareOf(const ShareAsk& aAsk, TimePoint aNow);
+  Share& ShareOf(const ShareRequest& aAsk, TimePoint aNow);
   void EvictFull(TimePoint aNow);
 
   LimitSharesSettings mSettings;
--- a/packages/state/include/shuntjunction/state/relay_choice.h
+++ b/packages/state/include/shuntjunction/state/relay_choice.h
@@ -130,8 +130,8 @@
 /// @return null if there is no store
 /// Thread safety: pure.
 const KvStoreRule*
-StoreOfPart(std::span<const KvStoreRule> aStores,
-            std::string_view aPartName,
-            std::string_view aZone);
+KvStoreOfPart(std::span<const KvStoreRule> aStores,
+              std::string_view aPartName,
+              std::string_view aZone);
 
 } // namespace shuntjunction::state
--- a/packages/state/include/shuntjunction/state/watchers.h
+++ b/packages/state/include/shuntjunction/state/watchers.h
@@ -13,9 +13,11 @@
 /// Settings of the selection of watchers.
 struct WatcherSettings
 {
-  std::size_t mPerZone = 3;    ///< companions per zone that watch
-  std::size_t mAllBelow = 64;  ///< in a smaller fleet all processes watch
-  Millis mAskInterval{ 1000 }; ///< of the others' queries, each to one watcher
+  std::size_t mPerZone = 3;   ///< companions per zone that watch
+  std::size_t mAllBelow = 64; ///< in a smaller fleet all processes watch
+  Millis mQueryInterval{
+    1000
+  }; ///< of the others' queries, each to one watcher
 };
 
 /// The companions that watch the platform for an availability zone.
--- a/packages/state/src/chooser_nested_groups.cpp
+++ b/packages/state/src/chooser_nested_groups.cpp
@@ -45,7 +45,8 @@
                                 std::size_t aLimit,
                                 TimePoint aNow)
 {
-  const std::uint64_t teamKey = TeamPlacementKey(aQuery.mTeam, aQuery.mServes);
+  const std::uint64_t teamKey =
+    TeamPlacementKey(aQuery.mTeam, aQuery.mServedName);
   auto group = RendezvousOrder(
     Members(aUsable), teamKey, std::max(Width(teamKey, aNow), aLimit));
   std::size_t width = group.size();
@@ -81,7 +82,7 @@
                               TimePoint aNow)
 {
   mDemand.Add(
-    TeamPlacementKey(aQuery.mTeam, aQuery.mServes), aEngineSeconds, aNow);
+    TeamPlacementKey(aQuery.mTeam, aQuery.mServedName), aEngineSeconds, aNow);
   for (const PrefixLevel& level : aQuery.mLevels) {
     mDemand.Add(level.mHash, aEngineSeconds, aNow);
   }
--- a/packages/state/src/endpoint_chooser.cpp
+++ b/packages/state/src/endpoint_chooser.cpp
@@ -26,9 +26,9 @@
 }
 
 std::uint64_t
-TeamPlacementKey(std::string_view aTeam, std::string_view aServes)
+TeamPlacementKey(std::string_view aTeam, std::string_view aServedName)
 {
-  return PlacementHash(aTeam, PlacementHash(aServes));
+  return PlacementHash(aTeam, PlacementHash(aServedName));
 }
 
 std::vector<RendezvousMember>
--- a/packages/state/src/endpoint_limits.cpp
+++ b/packages/state/src/endpoint_limits.cpp
@@ -63,8 +63,8 @@
   const double needed = aAsk.mIsUrgent ? 1.0 : 1.0 + mSettings.mUrgentReserve;
   PlaceGrant grant;
   grant.mRateVersion = limited.mRateVersion;
-  grant.mIsGiven = bucket.Left(aNow) >= needed;
-  if (grant.mIsGiven) {
+  grant.mIsGranted = bucket.Left(aNow) >= needed;
+  if (grant.mIsGranted) {
     bucket.TakeUpTo(1.0, aNow);
     ++limited.mGiven;
   } else {
--- a/packages/state/src/endpoint_rate.cpp
+++ b/packages/state/src/endpoint_rate.cpp
@@ -13,7 +13,7 @@
   const auto [stop, error] = std::from_chars(aText.data(), end, rate);
   const bool isRate = error == std::errc() && stop == end &&
                       std::isfinite(rate) && !std::signbit(rate);
-  return isRate ? EndpointRate{ RateNotice::kNamed, rate }
+  return isRate ? EndpointRate{ RateNotice::kAdvertised, rate }
                 : EndpointRate{ RateNotice::kUnreadable, 0 };
 }
 
--- a/packages/state/src/endpoint_table.cpp
+++ b/packages/state/src/endpoint_table.cpp
@@ -49,11 +49,11 @@
 }
 
 std::vector<EndpointHandle>
-EndpointTable::Usable(std::string_view aServes, TimePoint aNow)
+EndpointTable::Usable(std::string_view aServedName, TimePoint aNow)
 {
   std::vector<EndpointHandle> usable;
   std::vector<EndpointHandle> ejected;
-  const auto serving = mByServes.find(std::string(aServes));
+  const auto serving = mByServes.find(std::string(aServedName));
   if (serving == mByServes.end()) {
     return usable;
   }
--- a/packages/state/src/limit_shares.cpp
+++ b/packages/state/src/limit_shares.cpp
@@ -42,7 +42,7 @@
 }
 
 ShareGrant
-LimitShares::Take(const ShareAsk& aAsk, TimePoint aNow)
+LimitShares::Take(const ShareRequest& aAsk, TimePoint aNow)
 {
   const bool isValid = aAsk.mKey.mShare < kSharesPerLimit &&
                        aAsk.mLimit.IsLimited() && aAsk.mAmount <= kMaxUsage;
@@ -77,7 +77,7 @@
 }
 
 LimitShares::Share&
-LimitShares::ShareOf(const ShareAsk& aAsk, TimePoint aNow)
+LimitShares::ShareOf(const ShareRequest& aAsk, TimePoint aNow)
 {
   const auto limit = LimitOfShare(aAsk.mLimit);
   auto found = mBuckets.find(aAsk.mKey);
--- a/packages/state/src/relay_choice.cpp
+++ b/packages/state/src/relay_choice.cpp
@@ -182,9 +182,9 @@
 }
 
 const KvStoreRule*
-StoreOfPart(std::span<const KvStoreRule> aStores,
-            std::string_view aPartName,
-            std::string_view aZone)
+KvStoreOfPart(std::span<const KvStoreRule> aStores,
+              std::string_view aPartName,
+              std::string_view aZone)
 {
   const std::uint64_t key = PlacementHash(aPartName);
   const auto rankOf = [&](const KvStoreRule& aStore) {
--- a/packages/state/src/settings.cpp
+++ b/packages/state/src/settings.cpp
@@ -77,8 +77,8 @@
     "perZone", 1, kMaxCount, static_cast<std::int64_t>(aWatchers.mPerZone)));
   aWatchers.mAllBelow = static_cast<std::size_t>(aReader.Integer(
     "allBelow", 0, kMaxCount, static_cast<std::int64_t>(aWatchers.mAllBelow)));
-  aWatchers.mAskInterval =
-    ReadMillis(aReader, "askIntervalMs", aWatchers.mAskInterval);
+  aWatchers.mQueryInterval =
+    ReadMillis(aReader, "askIntervalMs", aWatchers.mQueryInterval);
 }
 
 void
--- a/packages/state/tests/endpoint_limit_model_test.cpp
+++ b/packages/state/tests/endpoint_limit_model_test.cpp
@@ -190,7 +190,7 @@
         const auto grant = LimitsOf(aRelay).Take(ask, mClock.Now());
         AtRelay(aRelay, Draw(1, 12), [this, aRelay, grant, askedAt] {
           const bool isInTime = mClock.Now() - askedAt < Millis(100);
-          if (grant.mIsGiven && isInTime) {
+          if (grant.mIsGranted && isInTime) {
             Send(aRelay, grant.mRateVersion);
           }
         });
@@ -246,7 +246,8 @@
     if (!aRate && !isEnd) {
       return;
     }
-    const EndpointRate rate{ aRate ? RateNotice::kNamed : RateNotice::kAbsent,
+    const EndpointRate rate{ aRate ? RateNotice::kAdvertised
+                                   : RateNotice::kAbsent,
                              aRate.value_or(0) };
     const RateReport report{ kEndpoint, rate, aVersion.value_or(0) };
     AtOwner(aRelay, [this, aRelay, report] { HandleReport(aRelay, report); });
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -18,7 +18,7 @@
 EndpointRate
 Named(double aPerSecond)
 {
-  return { RateNotice::kNamed, aPerSecond };
+  return { RateNotice::kAdvertised, aPerSecond };
 }
 
 } // namespace
@@ -47,7 +47,7 @@
     int granted = 0;
     const auto end = mClock.Now() + aTime;
     while (mClock.Now() < end) {
-      granted += Ask().mIsGiven ? 1 : 0;
+      granted += Ask().mIsGranted ? 1 : 0;
       mClock.Advance(kStep);
     }
     return granted;
@@ -87,7 +87,7 @@
 TEST_F(ThatWasReportedARate, ItStartsWithAnEmptyBucket)
 {
   const auto grant = Ask();
-  EXPECT_FALSE(grant.mIsGiven);
+  EXPECT_FALSE(grant.mIsGranted);
   EXPECT_EQ(grant.mRefill, Millis(500));
 }
 
@@ -100,7 +100,7 @@
 {
   mClock.Advance(Millis(60000) - Millis(1));
   int granted = 0;
-  while (Ask().mIsGiven) {
+  while (Ask().mIsGranted) {
     ++granted;
   }
   EXPECT_EQ(granted, 4);
@@ -109,21 +109,21 @@
 TEST_F(ThatWasReportedARate, AReturnedPermitCanBeGrantedAgain)
 {
   mClock.Advance(Millis(500));
-  EXPECT_TRUE(Ask().mIsGiven);
-  EXPECT_FALSE(Ask().mIsGiven);
+  EXPECT_TRUE(Ask().mIsGranted);
+  EXPECT_FALSE(Ask().mIsGranted);
   mLimits.GiveBack(kSameHost.mHash);
-  EXPECT_TRUE(Ask().mIsGiven);
+  EXPECT_TRUE(Ask().mIsGranted);
 }
 
 TEST_F(ThatWasReportedARate, UrgentRequestsGetTheNextPermitBeforeOthers)
 {
   mClock.Advance(Millis(500));
-  EXPECT_FALSE(Ask(false).mIsGiven);
-  EXPECT_TRUE(Ask(true).mIsGiven);
+  EXPECT_FALSE(Ask(false).mIsGranted);
+  EXPECT_TRUE(Ask(true).mIsGranted);
   {
     SCOPED_TRACE("and leave what they don't take to the others");
     mClock.Advance(Millis(750));
-    EXPECT_TRUE(Ask(false).mIsGiven);
+    EXPECT_TRUE(Ask(false).mIsGranted);
   }
 }
 
@@ -131,7 +131,7 @@
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
-  ASSERT_TRUE(grant.mIsGiven);
+  ASSERT_TRUE(grant.mIsGranted);
   const auto update = Note({}, grant.mRateVersion);
   ASSERT_TRUE(update);
   EXPECT_FALSE(update->mPerSecond);
@@ -165,9 +165,9 @@
 
 TEST_F(GivenAnOwner, AfterARestartItLearnsTheRateFromTheFirstRequest)
 {
-  EXPECT_FALSE(Ask(true, kSameHost, 2.0).mIsGiven);
+  EXPECT_FALSE(Ask(true, kSameHost, 2.0).mIsGranted);
   mClock.Advance(Millis(500));
-  EXPECT_TRUE(Ask(true, kSameHost, 2.0).mIsGiven);
+  EXPECT_TRUE(Ask(true, kSameHost, 2.0).mIsGranted);
 }
 
 TEST_F(GivenAnOwner, ForAnEndpointWithoutCompanionItGrantsOnlyIfItIsTheOwner)
@@ -177,21 +177,21 @@
   mOwnership.SetHosts({ "10.0.0.1" }, mClock.Now());
   EXPECT_TRUE(Note(Named(2.0), 0, plain));
   mClock.Advance(Millis(500));
-  EXPECT_TRUE(Ask(true, plain).mIsGiven);
+  EXPECT_TRUE(Ask(true, plain).mIsGranted);
   {
     SCOPED_TRACE("and drops it when another companion owns it");
     mClock.Advance(Millis(5000));
     mOwnership.SetHosts({ "10.0.0.2" }, mClock.Now());
     mLimits.ForgetUnowned();
     EXPECT_TRUE(mLimits.Known().empty());
-    EXPECT_FALSE(Ask(true, plain).mIsGiven);
+    EXPECT_FALSE(Ask(true, plain).mIsGranted);
   }
 }
 
 TEST(GivenAnEndpointsAnswer, OnlyADecimalNumberOfRequestsIsARate)
 {
   EXPECT_EQ(ReadEndpointRate("2.3").mPerSecond, 2.3);
-  EXPECT_EQ(ReadEndpointRate("0").mNotice, RateNotice::kNamed);
+  EXPECT_EQ(ReadEndpointRate("0").mNotice, RateNotice::kAdvertised);
   for (const auto* bad : { "", "-1", "-0", "nan", "inf", "2,3", "2.3/s" }) {
     EXPECT_EQ(ReadEndpointRate(bad).mNotice, RateNotice::kUnreadable) << bad;
   }
--- a/packages/state/tests/placement_test.cpp
+++ b/packages/state/tests/placement_test.cpp
@@ -215,7 +215,7 @@
   {
     ChoiceQuery query;
     query.mTeam = "t";
-    query.mServes = "m";
+    query.mServedName = "m";
     query.mLevels = mLevels;
     query.mBlocks = 40;
     return query;
--- a/packages/state/tests/relay_state_test.cpp
+++ b/packages/state/tests/relay_state_test.cpp
@@ -400,7 +400,7 @@
   {
     std::map<std::string, int> shares;
     for (int i = 0; i < kParts; ++i) {
-      ++shares[StoreOfPart(mStores, "s/" + std::to_string(i), "z")->mAddress];
+      ++shares[KvStoreOfPart(mStores, "s/" + std::to_string(i), "z")->mAddress];
     }
     return shares;
   }
@@ -424,9 +424,9 @@
   left.pop_back();
   for (int i = 0; i < kParts; ++i) {
     const auto name = "s/" + std::to_string(i);
-    const auto before = StoreOfPart(mStores, name, "z")->mAddress;
+    const auto before = KvStoreOfPart(mStores, name, "z")->mAddress;
     if (before != mStores.back().mAddress) {
-      EXPECT_EQ(StoreOfPart(left, name, "z")->mAddress, before);
+      EXPECT_EQ(KvStoreOfPart(left, name, "z")->mAddress, before);
     }
   }
 }
@@ -436,8 +436,8 @@
   mStores[1].mZone = "own";
   for (int i = 0; i < kParts; ++i) {
     const auto name = "s/" + std::to_string(i);
-    EXPECT_EQ(StoreOfPart(mStores, name, "own")->mAddress, "b:1");
-    EXPECT_NE(StoreOfPart(mStores, name, "z")->mAddress, "b:1");
+    EXPECT_EQ(KvStoreOfPart(mStores, name, "own")->mAddress, "b:1");
+    EXPECT_NE(KvStoreOfPart(mStores, name, "z")->mAddress, "b:1");
   }
 }
 
@@ -446,14 +446,14 @@
   std::set<std::string> stores;
   for (int i = 0; i < kParts; ++i) {
     const auto name = "s/" + std::to_string(i);
-    stores.insert(StoreOfPart(mStores, name, "none")->mAddress);
+    stores.insert(KvStoreOfPart(mStores, name, "none")->mAddress);
   }
   EXPECT_EQ(stores.size(), 3U);
 }
 
 TEST_F(GivenThreeKvStores, WithoutAnyThereIsNone)
 {
-  EXPECT_EQ(StoreOfPart({}, "s/1", "z"), nullptr);
+  EXPECT_EQ(KvStoreOfPart({}, "s/1", "z"), nullptr);
 }
 
 RC_GTEST_PROP(GeneratedRepeats,
--- a/packages/transport/include/shuntjunction/transport/connect.h
+++ b/packages/transport/include/shuntjunction/transport/connect.h
@@ -17,29 +17,30 @@
 /// @param aStep  names the step in the error
 /// @return kInvalidArgument when the host is no IP number
 state::Result<asio::ip::tcp::endpoint>
-EndpointOf(const state::Address& aAddress, std::string_view aStep);
+ToTcpEndpoint(const state::Address& aAddress, std::string_view aStep);
 
 /// Bounds how long a peer that says nothing is taken to be there.
-struct SilenceLimits
+struct DeadPeerTimeouts
 {
-  state::Millis mUnacknowledged{ 1500 }; ///< for bytes that were sent
-  int mKeepAliveIdleSeconds = 1;         ///< until the first probe
-  int mKeepAliveIntervalSeconds = 1;     ///< between probes
-  int mKeepAliveProbes = 2;              ///< unanswered ones that end it
+  state::Millis mUserTimeout{ 1500 }; ///< for bytes that were sent
+  int mKeepAliveIdleSeconds = 1;      ///< until the first probe
+  int mKeepAliveIntervalSeconds = 1;  ///< between probes
+  int mKeepAliveProbes = 2;           ///< unanswered ones that end it
 };
 
 /// Sets no-delay and the limits on a connected socket.
 ///
 /// Thread safety: none; as the socket.
 void
-SetSilenceLimits(asio::ip::tcp::socket& aSocket, const SilenceLimits& aLimits);
+SetDeadPeerTimeouts(asio::ip::tcp::socket& aSocket,
+                    const DeadPeerTimeouts& aLimits);
 
 /// A connected socket, or why there is none.
 using ConnectResult =
   tl::expected<asio::ip::tcp::socket, boost::system::error_code>;
 
 /// Connects within a time; timed_out when it has passed. The socket has the
-/// usual SilenceLimits: a peer that is cut off is noticed though nothing is
+/// usual DeadPeerTimeouts: a peer that is cut off is noticed though nothing is
 /// sent.
 Task<ConnectResult>
 ConnectSocket(asio::ip::tcp::endpoint aEndpoint, state::Millis aTimeout);
--- a/packages/transport/include/shuntjunction/transport/frame_channel.h
+++ b/packages/transport/include/shuntjunction/transport/frame_channel.h
@@ -69,7 +69,7 @@
 
   /// Whether the peer's machine ended the channel; false while it is open, and
   /// when it was given up here or because nothing came any more.
-  bool IsEndedByPeer() const { return mIsEndedByPeer; }
+  bool IsClosedByPeer() const { return mIsClosedByPeer; }
 
   /// Address of the other side.
   const std::string& Peer() const { return mPeer; }
@@ -102,7 +102,7 @@
   std::uint64_t mPeerConfigVersion = 0;
   std::uint64_t mToldVersion = 0;
   ChannelCounters& mCounters;
-  bool mIsEndedByPeer = false;
+  bool mIsClosedByPeer = false;
   std::deque<std::vector<std::uint8_t>> mQueue;
   std::size_t mPendingBytes = 0;
   bool mIsWriting = false;
@@ -122,7 +122,7 @@
 /// Accepts connections until the acceptor is closed, and hands each on; rests
 /// after a failure, which would come again at once.
 Task<void>
-AcceptEach(std::shared_ptr<asio::ip::tcp::acceptor> aAcceptor,
+AcceptLoop(std::shared_ptr<asio::ip::tcp::acceptor> aAcceptor,
            std::function<void(asio::ip::tcp::socket)> aTake);
 
 /// Address that a socket listens on, with the port that the kernel gave.
--- a/packages/transport/include/shuntjunction/transport/http_client.h
+++ b/packages/transport/include/shuntjunction/transport/http_client.h
@@ -98,7 +98,7 @@
     std::shared_ptr<CancelHandle> aCancel);
 
   /// Ends all calls of Send that wait for their answer: they return kTimeout.
-  void AbandonCalls();
+  void AbortPendingCalls();
 
   /// Address that it talks to.
   const state::Address& Peer() const { return mAddress; }
--- a/packages/transport/include/shuntjunction/transport/http_server.h
+++ b/packages/transport/include/shuntjunction/transport/http_server.h
@@ -42,7 +42,7 @@
   virtual void Abort() = 0;
 
   /// Sets what is called, once, when the caller goes away before its answer.
-  virtual void OnGone(std::function<void()> aCallback) = 0;
+  virtual void OnDisconnect(std::function<void()> aCallback) = 0;
 };
 
 /// Answers requests.
@@ -77,7 +77,7 @@
 
   /// Goes on to accept and to answer, but keeps no connection alive: callers
   /// come back through the balancer, which no longer sends them here.
-  void RefuseKeepAlive();
+  void DisableKeepAlive();
 
   /// Stops to accept; answers that run go on, kept-alive connections close
   /// after them.
--- a/packages/transport/include/shuntjunction/transport/relay_message.h
+++ b/packages/transport/include/shuntjunction/transport/relay_message.h
@@ -33,7 +33,7 @@
 };
 
 /// The head of an answer.
-struct RelayAnswer
+struct RelayResponse
 {
   unsigned mStatus = 0;
   std::string mReason;
@@ -51,7 +51,7 @@
 ///
 /// @param aConnection  value of the message's Connection field
 bool
-IsConnectionField(std::string_view aName, std::string_view aConnection);
+IsHopByHopField(std::string_view aName, std::string_view aConnection);
 
 /// Whether two field names are the same.
 bool
@@ -62,12 +62,12 @@
 FieldValue(const std::vector<HttpField>& aFields, std::string_view aName);
 
 /// What a reader made of the bytes that it was given.
-enum class ReadStep : std::uint8_t
+enum class ParseStatus : std::uint8_t
 {
   kNeedMore,
-  kHead, ///< the head is complete
-  kDone, ///< the message is complete
-  kBad,  ///< the message is malformed or breaks a limit
+  kHead,      ///< the head is complete
+  kDone,      ///< the message is complete
+  kMalformed, ///< the message is malformed or breaks a limit
 };
 
 /// Reads one request.
@@ -82,15 +82,15 @@
   RelayRequestReader& operator=(const RelayRequestReader&) = delete;
 
   /// Reads bytes; says in aConsumed how many of them it took.
-  ReadStep Put(std::string_view aBytes, std::size_t& aConsumed);
+  ParseStatus Put(std::string_view aBytes, std::size_t& aConsumed);
 
   /// Whether the caller waits for a word before it sends the body.
-  bool WantsContinue() const;
+  bool ExpectsContinue() const;
 
-  /// Status that answers a kBad message.
+  /// Status that answers a kMalformed message.
   unsigned RefusalStatus() const { return mRefusalStatus; }
 
-  /// Why a message is kBad.
+  /// Why a message is kMalformed.
   const std::string& Problem() const { return mProblem; }
 
   /// The request. @pre  Put gave kDone
@@ -99,7 +99,7 @@
 private:
   struct Parser;
 
-  ReadStep Refuse(unsigned aStatus, std::string_view aProblem);
+  ParseStatus Refuse(unsigned aStatus, std::string_view aProblem);
   bool IsFramingDoubtful();
 
   std::unique_ptr<Parser> mParser;
@@ -111,28 +111,28 @@
 /// Reads one answer.
 ///
 /// Thread safety: none.
-class RelayAnswerReader
+class RelayResponseReader
 {
 public:
   /// @param aIsHead  the request was a HEAD, so that no body follows
-  explicit RelayAnswerReader(bool aIsHead);
-  ~RelayAnswerReader();
-  RelayAnswerReader(const RelayAnswerReader&) = delete;
-  RelayAnswerReader& operator=(const RelayAnswerReader&) = delete;
+  explicit RelayResponseReader(bool aIsHead);
+  ~RelayResponseReader();
+  RelayResponseReader(const RelayResponseReader&) = delete;
+  RelayResponseReader& operator=(const RelayResponseReader&) = delete;
 
   /// Reads bytes; says in aConsumed how many of them it took.
   ///
   /// kHead comes once; body bytes that came with it are in TakeBody already.
-  ReadStep Put(std::string_view aBytes, std::size_t& aConsumed);
+  ParseStatus Put(std::string_view aBytes, std::size_t& aConsumed);
 
   /// Says that the connection ended in order; whether the answer is whole.
-  bool EndOfConnection();
+  bool FinishAtEof();
 
   /// Whether any byte of the answer was read.
   bool HasBegun() const { return mHasBegun; }
 
   /// The head. @pre  Put gave kHead or kDone
-  const RelayAnswer& Head() const { return mHead; }
+  const RelayResponse& Head() const { return mHead; }
 
   /// Body bytes read since the last call.
   std::string TakeBody();
@@ -144,7 +144,7 @@
   void Restart();
 
   std::unique_ptr<Parser> mParser;
-  RelayAnswer mHead;
+  RelayResponse mHead;
   bool mIsHeadRequest;
   bool mIsHeadGiven = false;
   bool mHasBegun = false;
--- a/packages/transport/include/shuntjunction/transport/socket_reader.h
+++ b/packages/transport/include/shuntjunction/transport/socket_reader.h
@@ -47,7 +47,7 @@
   bool IsClosed() const { return mIsClosed; }
 
   /// Whether the peer ended its side in order, rather than being cut off.
-  bool IsEndedInOrder() const { return mIsEndedInOrder; }
+  bool HasReachedEof() const { return mHasReachedEof; }
 
   /// Sets what is called, once, when the peer closes; null for nothing.
   void OnClosed(std::function<void()> aCallback)
@@ -77,7 +77,7 @@
   std::shared_ptr<void> mKept;
   bool mIsArmed = false;
   bool mIsClosed = false;
-  bool mIsEndedInOrder = false;
+  bool mHasReachedEof = false;
 };
 
 /// Makes the closing of a socket reach the peer as a reset, which also drops
--- a/packages/transport/src/connect.cpp
+++ b/packages/transport/src/connect.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 state::Result<tcp::endpoint>
-EndpointOf(const state::Address& aAddress, std::string_view aStep)
+ToTcpEndpoint(const state::Address& aAddress, std::string_view aStep)
 {
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(aAddress.mHost, error);
@@ -36,7 +36,7 @@
 }
 
 void
-SetSilenceLimits(tcp::socket& aSocket, const SilenceLimits& aLimits)
+SetDeadPeerTimeouts(tcp::socket& aSocket, const DeadPeerTimeouts& aLimits)
 {
   boost::system::error_code ignored;
   aSocket.set_option(tcp::no_delay(true), ignored);
@@ -44,7 +44,7 @@
   SetNumber(aSocket,
             IPPROTO_TCP,
             TCP_USER_TIMEOUT,
-            static_cast<int>(aLimits.mUnacknowledged.count()));
+            static_cast<int>(aLimits.mUserTimeout.count()));
   SetNumber(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, aLimits.mKeepAliveIdleSeconds);
   SetNumber(
     aSocket, IPPROTO_TCP, TCP_KEEPINTVL, aLimits.mKeepAliveIntervalSeconds);
@@ -72,7 +72,7 @@
   if (error) {
     co_return tl::unexpected(error);
   }
-  SetSilenceLimits(*socket, SilenceLimits{});
+  SetDeadPeerTimeouts(*socket, DeadPeerTimeouts{});
   co_return std::move(*socket);
 }
 
--- a/packages/transport/src/frame_channel.cpp
+++ b/packages/transport/src/frame_channel.cpp
@@ -53,7 +53,7 @@
   , mPeer(std::move(aPeer))
   , mCounters(aCounters)
 {
-  SetSilenceLimits(mSocket, SilenceLimits{});
+  SetDeadPeerTimeouts(mSocket, DeadPeerTimeouts{});
 }
 
 void
@@ -109,8 +109,8 @@
   const auto [prefixError, prefixBytes] =
     co_await asio::async_read(mSocket, asio::buffer(prefix), kAsTuple);
   if (prefixError) {
-    mIsEndedByPeer = prefixError == asio::error::eof ||
-                     prefixError == asio::error::connection_reset;
+    mIsClosedByPeer = prefixError == asio::error::eof ||
+                      prefixError == asio::error::connection_reset;
     Close();
     co_return Fail(
       ErrorCode::kUnavailable, "frame.receive", mPeer, prefixError.message());
@@ -127,8 +127,8 @@
   const auto [frameError, frameBytes] =
     co_await asio::async_read(mSocket, rest, kAsTuple);
   if (frameError) {
-    mIsEndedByPeer = frameError == asio::error::eof ||
-                     frameError == asio::error::connection_reset;
+    mIsClosedByPeer = frameError == asio::error::eof ||
+                      frameError == asio::error::connection_reset;
     Close();
     co_return Fail(ErrorCode::kUnavailable,
                    "frame.receive",
@@ -191,7 +191,7 @@
   if (!challenge) {
     co_return tl::unexpected(challenge.error());
   }
-  if (challenge->mVersion < protocol::kOldestVersion) {
+  if (challenge->mVersion < protocol::kMinProtocolVersion) {
     Close();
     co_return Fail(
       ErrorCode::kProtocol, kStep, mPeer, "its protocol version is too old");
@@ -237,7 +237,7 @@
   const std::string proof =
     protocol::ConnectorProof(aIdentity.mSecret, challenge, *hello);
   const bool isProved = state::EqualDigests(proof, hello->mProof);
-  if (!isProved || hello->mVersion < protocol::kOldestVersion) {
+  if (!isProved || hello->mVersion < protocol::kMinProtocolVersion) {
     ++mCounters.mBadFrames;
     Close();
     co_return Fail(ErrorCode::kUnauthorized,
@@ -265,7 +265,7 @@
                ChannelCounters& aCounters)
 {
   constexpr std::string_view kStep = "channel.connect";
-  const auto endpoint = EndpointOf(aAddress, kStep);
+  const auto endpoint = ToTcpEndpoint(aAddress, kStep);
   if (!endpoint) {
     co_return tl::unexpected(endpoint.error());
   }
@@ -288,7 +288,7 @@
 Result<std::shared_ptr<tcp::acceptor>>
 Listen(asio::io_context& aContext, const state::Address& aAddress)
 {
-  const auto endpoint = EndpointOf(aAddress, "listen");
+  const auto endpoint = ToTcpEndpoint(aAddress, "listen");
   if (!endpoint) {
     return tl::unexpected(endpoint.error());
   }
@@ -312,7 +312,7 @@
 }
 
 Task<void>
-AcceptEach(std::shared_ptr<tcp::acceptor> aAcceptor,
+AcceptLoop(std::shared_ptr<tcp::acceptor> aAcceptor,
            std::function<void(tcp::socket)> aTake)
 {
   while (aAcceptor->is_open()) {
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -147,7 +147,7 @@
 Task<Result<std::unique_ptr<HttpClient::Connection>>>
 HttpClient::Connect(Millis aTimeout)
 {
-  const auto endpoint = EndpointOf(mAddress, "http.connect");
+  const auto endpoint = ToTcpEndpoint(mAddress, "http.connect");
   if (!endpoint) {
     co_return tl::unexpected(endpoint.error());
   }
@@ -162,7 +162,7 @@
 }
 
 void
-HttpClient::AbandonCalls()
+HttpClient::AbortPendingCalls()
 {
   for (auto* connection : mBusy) {
     connection->mStream.close();
--- a/packages/transport/src/http_server.cpp
+++ b/packages/transport/src/http_server.cpp
@@ -159,7 +159,7 @@
     mStream.close();
   }
 
-  void OnGone(std::function<void()> aCallback) override
+  void OnDisconnect(std::function<void()> aCallback) override
   {
     mOnGone = std::move(aCallback);
     Spawn(mShared->mContext, WatchCaller(mRequestNumber));
@@ -327,7 +327,7 @@
 }
 
 void
-HttpServer::RefuseKeepAlive()
+HttpServer::DisableKeepAlive()
 {
   mShared->mIsStopping = true;
 }
@@ -335,7 +335,7 @@
 void
 HttpServer::Stop()
 {
-  RefuseKeepAlive();
+  DisableKeepAlive();
   if (mShared->mAcceptor) {
     boost::system::error_code ignored;
     mShared->mAcceptor->close(ignored);
--- a/packages/transport/src/relay_message.cpp
+++ b/packages/transport/src/relay_message.cpp
@@ -81,7 +81,7 @@
 }
 
 bool
-IsConnectionField(std::string_view aName, std::string_view aConnection)
+IsHopByHopField(std::string_view aName, std::string_view aConnection)
 {
   for (const auto name : kConnectionFields) {
     if (IsSameName(aName, name)) {
@@ -108,7 +108,7 @@
 }
 
 std::string_view
-RelayAnswer::Field(std::string_view aName) const
+RelayResponse::Field(std::string_view aName) const
 {
   return FieldValue(mFields, aName);
 }
@@ -129,12 +129,12 @@
 
 RelayRequestReader::~RelayRequestReader() = default;
 
-ReadStep
+ParseStatus
 RelayRequestReader::Refuse(unsigned aStatus, std::string_view aProblem)
 {
   mRefusalStatus = aStatus;
   mProblem = aProblem;
-  return ReadStep::kBad;
+  return ParseStatus::kMalformed;
 }
 
 bool
@@ -154,7 +154,7 @@
          (message.version() != kVersion10 || encodings == 1);
 }
 
-ReadStep
+ParseStatus
 RelayRequestReader::Put(std::string_view aBytes, std::size_t& aConsumed)
 {
   auto& parser = mParser->mParser;
@@ -182,11 +182,11 @@
       break;
     }
   }
-  return parser.is_done() ? ReadStep::kDone : ReadStep::kNeedMore;
+  return parser.is_done() ? ParseStatus::kDone : ParseStatus::kNeedMore;
 }
 
 bool
-RelayRequestReader::WantsContinue() const
+RelayRequestReader::ExpectsContinue() const
 {
   const auto& parser = mParser->mParser;
   return parser.is_header_done() && !parser.is_done() &&
@@ -210,21 +210,21 @@
   return request;
 }
 
-struct RelayAnswerReader::Parser
+struct RelayResponseReader::Parser
 {
   http::response_parser<http::string_body> mParser;
 };
 
-RelayAnswerReader::RelayAnswerReader(bool aIsHead)
+RelayResponseReader::RelayResponseReader(bool aIsHead)
   : mIsHeadRequest(aIsHead)
 {
   Restart();
 }
 
-RelayAnswerReader::~RelayAnswerReader() = default;
+RelayResponseReader::~RelayResponseReader() = default;
 
 void
-RelayAnswerReader::Restart()
+RelayResponseReader::Restart()
 {
   mParser = std::make_unique<Parser>();
   mParser->mParser.eager(true);
@@ -233,8 +233,8 @@
   mParser->mParser.body_limit(boost::none);
 }
 
-ReadStep
-RelayAnswerReader::Put(std::string_view aBytes, std::size_t& aConsumed)
+ParseStatus
+RelayResponseReader::Put(std::string_view aBytes, std::size_t& aConsumed)
 {
   aConsumed = 0;
   while (aConsumed < aBytes.size() && !mParser->mParser.is_done()) {
@@ -244,7 +244,7 @@
     aConsumed +=
       mParser->mParser.put(asio::buffer(rest.data(), rest.size()), error);
     if (error && error != http::error::need_more) {
-      return ReadStep::kBad;
+      return ParseStatus::kMalformed;
     }
     const bool isInterim =
       mParser->mParser.is_header_done() &&
@@ -257,18 +257,18 @@
   }
   auto& parser = mParser->mParser;
   if (!parser.is_header_done()) {
-    return ReadStep::kNeedMore;
+    return ParseStatus::kNeedMore;
   }
   if (!mIsHeadGiven) {
     mIsHeadGiven = true;
     FillHead();
-    return parser.is_done() ? ReadStep::kDone : ReadStep::kHead;
+    return parser.is_done() ? ParseStatus::kDone : ParseStatus::kHead;
   }
-  return parser.is_done() ? ReadStep::kDone : ReadStep::kNeedMore;
+  return parser.is_done() ? ParseStatus::kDone : ParseStatus::kNeedMore;
 }
 
 bool
-RelayAnswerReader::EndOfConnection()
+RelayResponseReader::FinishAtEof()
 {
   auto& parser = mParser->mParser;
   if (parser.is_done()) {
@@ -283,7 +283,7 @@
 }
 
 void
-RelayAnswerReader::FillHead()
+RelayResponseReader::FillHead()
 {
   const auto& parser = mParser->mParser;
   const auto& message = parser.get();
@@ -298,7 +298,7 @@
 }
 
 std::string
-RelayAnswerReader::TakeBody()
+RelayResponseReader::TakeBody()
 {
   return std::exchange(mParser->mParser.get().body(), {});
 }
--- a/packages/transport/src/socket_reader.cpp
+++ b/packages/transport/src/socket_reader.cpp
@@ -118,7 +118,7 @@
 SocketReader::MarkClosed(const boost::system::error_code& aError)
 {
   mIsClosed = true;
-  mIsEndedInOrder = aError == asio::error::eof;
+  mHasReachedEof = aError == asio::error::eof;
   if (mOnClosed) {
     std::exchange(mOnClosed, nullptr)();
   }
--- a/packages/transport/tests/http_server_test.cpp
+++ b/packages/transport/tests/http_server_test.cpp
@@ -37,12 +37,12 @@
     const auto path = aExchange.Request().Path();
     HttpResponse header;
     if (path == "/wait") {
-      aExchange.OnGone([this] { mGone.Push(true); });
+      aExchange.OnDisconnect([this] { mGone.Push(true); });
       co_await mGone.Receive(state::TimePoint::max());
       aExchange.Abort();
     } else if (path == "/watched") {
       int gone = 0;
-      aExchange.OnGone([&gone] { ++gone; });
+      aExchange.OnDisconnect([&gone] { ++gone; });
       // Other work of this thread goes on meanwhile.
       co_await Sleep(std::chrono::microseconds(100));
       HttpResponse response;
@@ -332,7 +332,7 @@
   const auto answer = Run(client.Send(request, Millis(5000)));
   ASSERT_TRUE(answer);
   const std::vector<int> expected{ static_cast<int>(
-    SilenceLimits{}.mUnacknowledged.count()) };
+    DeadPeerTimeouts{}.mUserTimeout.count()) };
   EXPECT_EQ(SilenceLimitsTo(mAddress.mPort), expected);
 }
 
--- a/standins/child_process.cpp
+++ b/standins/child_process.cpp
@@ -96,7 +96,7 @@
 } // namespace
 
 void
-DieWithChildren(const std::string& aText)
+KillChildrenAndAbort(const std::string& aText)
 {
   std::cerr << aText << "\n";
   for (const int pid : sStarted) {
@@ -109,7 +109,7 @@
 {
   std::array<int, 2> output{};
   if (pipe2(output.data(), O_CLOEXEC) != 0) {
-    DieWithChildren("no pipe");
+    KillChildrenAndAbort("no pipe");
   }
   const SpawnActions actions(aCommand, output[1]);
   const auto environment = WholeEnvironment(aCommand.mEnvironment);
@@ -121,8 +121,8 @@
                                  Pointers(environment).data());
   close(output[1]);
   if (failed != 0) {
-    DieWithChildren(aCommand.mWords.front() +
-                    " cannot be started: " + std::strerror(failed));
+    KillChildrenAndAbort(aCommand.mWords.front() +
+                         " cannot be started: " + std::strerror(failed));
   }
   sStarted.insert(mPid);
   if (aCommand.mOutputFile.empty()) {
@@ -134,32 +134,32 @@
 ChildProcess::~ChildProcess()
 {
   Signal(SIGKILL);
-  WaitEnd();
+  WaitForExit();
 }
 
 void
 ChildProcess::Signal(int aSignal)
 {
-  if (!HasEnded()) {
+  if (!HasExited()) {
     kill(mPid, aSignal);
   }
 }
 
 bool
-ChildProcess::HasEnded()
+ChildProcess::HasExited()
 {
   int status = 0;
-  if (!mHasEnded && waitpid(mPid, &status, WNOHANG) == mPid) {
+  if (!mHasExited && waitpid(mPid, &status, WNOHANG) == mPid) {
     NoteEnd(status);
   }
-  return mHasEnded;
+  return mHasExited;
 }
 
 int
-ChildProcess::WaitEnd()
+ChildProcess::WaitForExit()
 {
   int status = 0;
-  if (!mHasEnded && waitpid(mPid, &status, 0) == mPid) {
+  if (!mHasExited && waitpid(mPid, &status, 0) == mPid) {
     NoteEnd(status);
   }
   return mExit;
@@ -168,7 +168,7 @@
 void
 ChildProcess::NoteEnd(int aStatus)
 {
-  mHasEnded = true;
+  mHasExited = true;
   mExit = WIFEXITED(aStatus) ? WEXITSTATUS(aStatus) : -WTERMSIG(aStatus);
   sStarted.erase(mPid);
 }
--- a/standins/child_process.h
+++ b/standins/child_process.h
@@ -37,23 +37,23 @@
   void Signal(int aSignal);
 
   /// Whether it has ended by now.
-  bool HasEnded();
+  bool HasExited();
 
   /// Waits for its end; its exit code, or minus its signal.
-  int WaitEnd();
+  int WaitForExit();
 
 private:
   void NoteEnd(int aStatus);
 
   int mPid = 0;
   std::string mFirstLine;
-  bool mHasEnded = false;
+  bool mHasExited = false;
   int mExit = 0;
 };
 
 /// Ends this program with a message, and before it all that it has started:
 /// nobody else would.
 [[noreturn]] void
-DieWithChildren(const std::string& aText);
+KillChildrenAndAbort(const std::string& aText);
 
 } // namespace shuntjunction::standins
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -177,7 +177,7 @@
   SayUsage(fleet);
   fleet.Signal("router-1", SIGTERM);
   Say("router-1 stopped with exit code " +
-      std::to_string(fleet.WaitEnd("router-1")) + ".");
+      std::to_string(fleet.WaitForExit("router-1")) + ".");
   Say(isWhole && isOnce ? "all is well." : "SOMETHING IS WRONG.");
   return isWhole && isOnce ? 0 : 1;
 }
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -209,7 +209,7 @@
     co_return;
   }
   ++mExecuted[job->mRequestId];
-  aExchange.OnGone([&job] { job->mIsGone = true; });
+  aExchange.OnDisconnect([&job] { job->mIsGone = true; });
   if (!co_await TakeSlot(*job)) {
     aExchange.Abort();
     co_return;
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -36,7 +36,7 @@
 [[noreturn]] void
 Die(const std::string& aText)
 {
-  DieWithChildren("fleet: " + aText);
+  KillChildrenAndAbort("fleet: " + aText);
 }
 
 json::object
@@ -225,9 +225,9 @@
 }
 
 int
-Fleet::WaitEnd(const std::string& aName)
+Fleet::WaitForExit(const std::string& aName)
 {
-  const int exit = Process(aName).mChild->WaitEnd();
+  const int exit = Process(aName).mChild->WaitForExit();
   mProcesses.erase(aName);
   return exit;
 }
@@ -238,14 +238,14 @@
   const FleetProcess process = Process(aName);
   mAddresses[aName] = process.mTraffic;
   process.mChild->Signal(SIGKILL);
-  WaitEnd(aName);
+  WaitForExit(aName);
 }
 
 bool
 Fleet::IsRunning(const std::string& aName)
 {
   const auto found = mProcesses.find(aName);
-  return found != mProcesses.end() && !found->second.mChild->HasEnded();
+  return found != mProcesses.end() && !found->second.mChild->HasExited();
 }
 
 const FleetProcess&
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -76,7 +76,7 @@
   void Signal(const std::string& aName, int aSignal);
 
   /// Waits for a process to end; its exit code, or minus its signal.
-  int WaitEnd(const std::string& aName);
+  int WaitForExit(const std::string& aName);
 
   /// Ends a process at once and forgets it.
   void Kill(const std::string& aName);
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -94,7 +94,7 @@
     WithACrowd::SetUp();
     for (const std::string name : { "endpoint-2", "endpoint-3" }) {
       mFleet.Signal(name, SIGTERM);
-      mFleet.WaitEnd(name);
+      mFleet.WaitForExit(name);
       mFleet.Unlist(name);
     }
   }
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -21,7 +21,7 @@
 {
   ExpectAllWhole(MakeCalls(
     Calls(kStreams), kHalfWay, [&] { mFleet.Signal("router-1", SIGTERM); }));
-  EXPECT_EQ(mFleet.WaitEnd("router-1"), 0);
+  EXPECT_EQ(mFleet.WaitForExit("router-1"), 0);
 }
 
 TEST_F(WhenAProcessStops, ARouterTakesRequestsUntilItsBalancerKnows)
@@ -40,14 +40,14 @@
   call.mRouter = mFleet.Process("router-1").mTraffic;
   call.mTokens = 100; // Longer than the notice: it is cut by neither.
   ExpectAllWhole(MakeCalls({ call }));
-  EXPECT_EQ(mFleet.WaitEnd("router-1"), 0);
+  EXPECT_EQ(mFleet.WaitForExit("router-1"), 0);
 }
 
 TEST_F(WhenAProcessStops, ACompanionStopsAndCutsNone)
 {
   ExpectAllWhole(MakeCalls(
     Calls(kStreams), kHalfWay, [&] { mFleet.Signal("endpoint-2", SIGTERM); }));
-  EXPECT_EQ(mFleet.WaitEnd("endpoint-2"), 0);
+  EXPECT_EQ(mFleet.WaitForExit("endpoint-2"), 0);
 }
 
 class WithoutTimeToDrain : public GivenAFleet
@@ -81,7 +81,7 @@
 {
   MakeCalls(
     Calls(kStreams), kHalfWay, [&] { mFleet.Signal("endpoint-2", SIGTERM); });
-  mFleet.WaitEnd("endpoint-2");
+  mFleet.WaitForExit("endpoint-2");
   // The platform's list still calls it live, and its engine still runs.
   const auto executed = [&] {
     transport::HttpRequest audit;
