--- a/apps/ctl_commands.cpp
+++ b/apps/ctl_commands.cpp
@@ -34,11 +34,11 @@
   , mErr(aErr)
   , mPlatform(
       state::ParseAddress(mOptions.mPlatform).value_or(state::Address{}),
-      kTimeout)
+      kCallTimeout)
 {
 }
 
-// Calls.
+// Calls to the platform and to processes.
 
 Result<std::optional<RawObject>>
 Commands::Read(const std::string& aKey)
@@ -62,69 +62,70 @@
   if (written || written.error().mCode != ErrorCode::kTimeout) {
     return written;
   }
-  // The answer was lost: what stands there now tells whether it took effect.
-  const auto found = transport::RunTask(mContext, mPlatform.Read(aKey));
-  if (found && *found && (*found)->mValue == aValue &&
-      (*found)->mRevision != aIfRevision) {
-    return (*found)->mRevision;
+  // The response was lost. The stored object shows whether the write took
+  // effect.
+  const auto stored = transport::RunTask(mContext, mPlatform.Read(aKey));
+  if (stored && *stored && (*stored)->mValue == aValue &&
+      (*stored)->mRevision != aIfRevision) {
+    return (*stored)->mRevision;
   }
   return written;
 }
 
 Result<HttpResponse>
-Commands::Ask(HttpRequest aRequest)
+Commands::SendAdminRequest(HttpRequest aRequest)
 {
   transport::HttpClient client(
     state::ParseAddress(mOptions.mAdmin).value_or(state::Address{}),
-    kMaxAnswerBytes);
+    kMaxResponseBytes);
   aRequest.mFields.push_back({ "authorization", "Bearer " + mOptions.mSecret });
   return transport::RunTask(mContext,
-                            client.Send(std::move(aRequest), kTimeout));
+                            client.Send(std::move(aRequest), kCallTimeout));
 }
 
-// What is shown.
+// Output.
 
 int
-Commands::Fail(const state::Error& aError)
+Commands::ReportError(const state::Error& aError)
 {
   mErr << "shuntctl: " << aError.Describe() << "\n";
   switch (aError.mCode) {
     case ErrorCode::kInvalidArgument:
-      return Code(ExitCode::kBadInput);
+      return ToExitStatus(ExitCode::kBadInput);
     case ErrorCode::kConflict:
-      return Code(ExitCode::kConflict);
+      return ToExitStatus(ExitCode::kConflict);
     case ErrorCode::kNotFound:
-      return Code(ExitCode::kNotFound);
+      return ToExitStatus(ExitCode::kNotFound);
     default:
-      return Code(ExitCode::kNoAnswer);
+      return ToExitStatus(ExitCode::kNoAnswer);
   }
 }
 
 int
-Commands::Conflict(const std::string& aKey, std::uint64_t aExpected)
+Commands::ReportConflict(const std::string& aKey, std::uint64_t aExpected)
 {
-  const auto found = Read(aKey);
-  mErr << "shuntctl: conflict at " << ShortKey(aKey)
-       << ": you build on revision " << aExpected << ", the platform holds ";
-  if (found && *found) {
-    mErr << "revision " << (*found)->mRevision << ": " << (*found)->mValue;
+  const auto stored = Read(aKey);
+  mErr << "shuntctl: conflict at " << ShortKey(aKey) << ": expected revision "
+       << aExpected << ", the platform holds ";
+  if (stored && *stored) {
+    mErr << "revision " << (*stored)->mRevision << ": " << (*stored)->mValue;
   } else {
     mErr << "no such object";
   }
-  mErr << "\nshuntctl: another operator was faster; look with 'shuntctl diff' "
-          "and apply again.\n";
-  return Code(ExitCode::kConflict);
+  mErr << "\nshuntctl: another operator changed it first; run 'shuntctl diff', "
+          "then apply again.\n";
+  return ToExitStatus(ExitCode::kConflict);
 }
 
 void
-Commands::Print(const Row& aHead, const std::vector<Row>& aRows)
+Commands::PrintTable(const Row& aHeader, const std::vector<Row>& aRows)
 {
   if (IsJson()) {
     json::array list;
     for (const auto& row : aRows) {
       json::object object;
-      for (std::size_t i = 0; i < aHead.size(); ++i) {
-        object[aHead[i]] = row[i];
+      for (std::size_t i = 0; i < aHeader.size(); ++i) {
+        object[aHeader[i]] = row[i];
       }
       list.push_back(std::move(object));
     }
@@ -132,8 +133,8 @@
     return;
   }
   std::vector<std::size_t> widths;
-  for (std::size_t i = 0; i < aHead.size(); ++i) {
-    std::size_t width = aHead[i].size();
+  for (std::size_t i = 0; i < aHeader.size(); ++i) {
+    std::size_t width = aHeader[i].size();
     for (const auto& row : aRows) {
       width = std::max(width, row[i].size());
     }
@@ -148,18 +149,18 @@
     }
     mOut << "\n";
   };
-  print(aHead);
+  print(aHeader);
   for (const auto& row : aRows) {
     print(row);
   }
 }
 
-// Objects.
+// Commands on objects.
 
-Result<std::vector<Commands::Declared>>
-Commands::ReadDeclared() const
+Result<std::vector<Commands::DeclaredObject>>
+Commands::ReadDeclaredObjects() const
 {
-  const auto text = ReadFile(mOptions.mFile);
+  const auto text = ReadTextFile(mOptions.mFile);
   if (!text) {
     return tl::unexpected(text.error());
   }
@@ -172,9 +173,10 @@
     return state::Fail(ErrorCode::kInvalidArgument,
                        "file.read",
                        "",
-                       mOptions.mFile + " must hold {\"KIND/NAME\": {...}}");
+                       mOptions.mFile +
+                         " must be a JSON object {\"KIND/NAME\": {...}}");
   }
-  std::vector<Declared> declared;
+  std::vector<DeclaredObject> declared;
   for (const auto& item : *file) {
     const std::string key = FullKey(std::string(item.key()));
     const auto checked = state::CheckConfigObject(key, item.value());
@@ -187,51 +189,55 @@
 }
 
 int
-Commands::ApplyOne(const Declared& aDeclared, std::uint64_t& aHighest)
+Commands::ApplyObject(const DeclaredObject& aDeclared,
+                      std::uint64_t& aMaxRevision)
 {
-  const auto found = Read(aDeclared.mKey);
-  if (!found) {
-    return Fail(found.error());
+  const auto stored = Read(aDeclared.mKey);
+  if (!stored) {
+    return ReportError(stored.error());
   }
-  const bool isSame = *found && Canonical((*found)->mValue) == aDeclared.mValue;
+  const bool isSame =
+    *stored && CanonicalJson((*stored)->mValue) == aDeclared.mValue;
   if (isSame && !mOptions.mIfRevision) {
-    aHighest = std::max(aHighest, (*found)->mRevision);
+    aMaxRevision = std::max(aMaxRevision, (*stored)->mRevision);
     mOut << ShortKey(aDeclared.mKey) << " unchanged, revision "
-         << (*found)->mRevision << "\n";
-    return Code(ExitCode::kDone);
+         << (*stored)->mRevision << "\n";
+    return ToExitStatus(ExitCode::kDone);
   }
   const std::uint64_t expected =
-    mOptions.mIfRevision.value_or(*found ? (*found)->mRevision : 0);
+    mOptions.mIfRevision.value_or(*stored ? (*stored)->mRevision : 0);
   const auto written = Write(aDeclared.mKey, aDeclared.mValue, expected);
   if (!written) {
     return written.error().mCode == ErrorCode::kConflict
-             ? Conflict(aDeclared.mKey, expected)
-             : Fail(written.error());
+             ? ReportConflict(aDeclared.mKey, expected)
+             : ReportError(written.error());
   }
-  aHighest = std::max(aHighest, *written);
+  aMaxRevision = std::max(aMaxRevision, *written);
   mOut << ShortKey(aDeclared.mKey) << " applied, revision " << *written << "\n";
-  return Code(ExitCode::kDone);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
 Commands::Apply()
 {
-  const auto declared = ReadDeclared();
+  const auto declared = ReadDeclaredObjects();
   if (!declared) {
-    return Fail(declared.error());
+    return ReportError(declared.error());
   }
   if (mOptions.mIfRevision && declared->size() != 1) {
-    mErr << "shuntctl: --if-revision goes with a file of one object.\n";
-    return Code(ExitCode::kBadInput);
+    mErr
+      << "shuntctl: --if-revision requires a file with exactly one object.\n";
+    return ToExitStatus(ExitCode::kBadInput);
   }
-  std::uint64_t highest = 0;
-  for (const auto& one : *declared) {
-    const int code = ApplyOne(one, highest);
-    if (code != Code(ExitCode::kDone)) {
+  std::uint64_t maxRevision = 0;
+  for (const auto& object : *declared) {
+    const int code = ApplyObject(object, maxRevision);
+    if (code != ToExitStatus(ExitCode::kDone)) {
       return code;
     }
   }
-  return mOptions.mWaitMs > 0 ? AwaitInForce(highest) : Code(ExitCode::kDone);
+  return mOptions.mWaitMs > 0 ? AwaitActivation(maxRevision)
+                              : ToExitStatus(ExitCode::kDone);
 }
 
 int
@@ -241,7 +247,7 @@
     List(mOptions.mName.empty() ? std::string(state::kConfigPrefix)
                                 : FullKey(mOptions.mName));
   if (!list) {
-    return Fail(list.error());
+    return ReportError(list.error());
   }
   std::vector<Row> rows;
   for (const auto& object : list->mObjects) {
@@ -250,61 +256,61 @@
                      object.mValue });
   }
   if (rows.empty() && !mOptions.mName.empty()) {
-    mErr << "shuntctl: nothing is named " << mOptions.mName << "\n";
-    return Code(ExitCode::kNotFound);
+    mErr << "shuntctl: no object named " << mOptions.mName << "\n";
+    return ToExitStatus(ExitCode::kNotFound);
   }
-  Print({ "name", "revision", "value" }, rows);
-  return Code(ExitCode::kDone);
+  PrintTable({ "name", "revision", "value" }, rows);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
 Commands::Diff()
 {
-  const auto declared = ReadDeclared();
+  const auto declared = ReadDeclaredObjects();
   if (!declared) {
-    return Fail(declared.error());
+    return ReportError(declared.error());
   }
   std::vector<Row> rows;
-  for (const auto& one : *declared) {
-    const auto found = Read(one.mKey);
-    if (!found) {
-      return Fail(found.error());
+  for (const auto& object : *declared) {
+    const auto stored = Read(object.mKey);
+    if (!stored) {
+      return ReportError(stored.error());
     }
-    const std::string before = *found ? Canonical((*found)->mValue) : "";
-    if (before != one.mValue) {
-      rows.push_back({ ShortKey(one.mKey),
-                       *found ? std::to_string((*found)->mRevision) : "-",
+    const std::string before = *stored ? CanonicalJson((*stored)->mValue) : "";
+    if (before != object.mValue) {
+      rows.push_back({ ShortKey(object.mKey),
+                       *stored ? std::to_string((*stored)->mRevision) : "-",
                        before.empty() ? "-" : before,
-                       one.mValue });
+                       object.mValue });
     }
   }
-  Print({ "name", "revision", "in the platform", "in the file" }, rows);
-  return Code(ExitCode::kDone);
+  PrintTable({ "name", "revision", "in the platform", "in the file" }, rows);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
 Commands::Delete()
 {
   const std::string key = FullKey(mOptions.mName);
-  const auto found = Read(key);
-  if (!found) {
-    return Fail(found.error());
+  const auto stored = Read(key);
+  if (!stored) {
+    return ReportError(stored.error());
   }
-  if (!*found) {
-    mErr << "shuntctl: nothing is named " << mOptions.mName << "\n";
-    return Code(ExitCode::kNotFound);
+  if (!*stored) {
+    mErr << "shuntctl: no object named " << mOptions.mName << "\n";
+    return ToExitStatus(ExitCode::kNotFound);
   }
   const std::uint64_t expected =
-    mOptions.mIfRevision.value_or((*found)->mRevision);
+    mOptions.mIfRevision.value_or((*stored)->mRevision);
   const auto deleted =
     transport::RunTask(mContext, mPlatform.Delete(key, expected));
   if (!deleted) {
     return deleted.error().mCode == ErrorCode::kConflict
-             ? Conflict(key, expected)
-             : Fail(deleted.error());
+             ? ReportConflict(key, expected)
+             : ReportError(deleted.error());
   }
   mOut << mOptions.mName << " deleted\n";
-  return Code(ExitCode::kDone);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 } // namespace shuntjunction::ctl
--- a/apps/ctl_commands.h
+++ b/apps/ctl_commands.h
@@ -15,7 +15,7 @@
 /// The commands of shuntctl.
 namespace shuntjunction::ctl {
 
-/// What the command line said.
+/// Options and arguments given on the command line.
 struct Options
 {
   std::string mPlatform;
@@ -30,7 +30,7 @@
   std::int64_t mChanges = 0;
 };
 
-/// Exit codes, as the help text tells them.
+/// Exit codes; the help text of shuntctl lists them.
 enum class ExitCode : std::uint8_t
 {
   kDone = 0,
@@ -39,7 +39,7 @@
   kConflict = 3,
   kNoAnswer = 4,
   kNotFound = 5,
-  kNotInForce = 6,
+  kNotActive = 6,
 };
 
 /// Runs one command; each method returns the exit code of the program.
@@ -62,28 +62,41 @@
   int Explain();
 
 private:
-  /// An object that a file declares.
-  struct Declared
+  /// A configuration object from the input file.
+  struct DeclaredObject
   {
     std::string mKey;
     std::string mValue;
   };
   using Row = std::vector<std::string>;
 
-  state::Result<std::vector<Declared>> ReadDeclared() const;
+  /// Reads and checks the objects of the input file.
+  state::Result<std::vector<DeclaredObject>> ReadDeclaredObjects() const;
   state::Result<std::optional<state::RawObject>> Read(const std::string& aKey);
   state::Result<coordination::ObjectList> List(std::string aPrefix);
+  /// Writes an object if its revision is aIfRevision. After a timeout, reads
+  /// the object back to find out whether the write took effect.
   state::Result<std::uint64_t> Write(const std::string& aKey,
                                      const std::string& aValue,
                                      std::uint64_t aIfRevision);
-  state::Result<std::vector<boost::json::object>> Statuses();
-  state::Result<transport::HttpResponse> Ask(transport::HttpRequest aRequest);
-  state::Result<std::vector<std::string>> NotInForce(std::uint64_t aRevision);
-  int ApplyOne(const Declared& aDeclared, std::uint64_t& aHighest);
-  int AwaitInForce(std::uint64_t aRevision);
-  int Fail(const state::Error& aError);
-  int Conflict(const std::string& aKey, std::uint64_t aExpected);
-  void Print(const Row& aHead, const std::vector<Row>& aRows);
+  state::Result<std::vector<boost::json::object>> ReadStatuses();
+  /// Sends an authorized request to the admin interface of a process.
+  state::Result<transport::HttpResponse> SendAdminRequest(
+    transport::HttpRequest aRequest);
+  /// Names of the live instances that have not reported a configuration
+  /// revision of at least aRevision; leaving instances are skipped.
+  state::Result<std::vector<std::string>> OutdatedInstances(
+    std::uint64_t aRevision);
+  /// Writes an object unless the platform has an equal one; raises
+  /// aMaxRevision to its revision.
+  int ApplyObject(const DeclaredObject& aDeclared, std::uint64_t& aMaxRevision);
+  /// Waits until every live instance reports the revision, at most mWaitMs.
+  int AwaitActivation(std::uint64_t aRevision);
+  /// Prints an error; returns the exit code for it.
+  int ReportError(const state::Error& aError);
+  int ReportConflict(const std::string& aKey, std::uint64_t aExpected);
+  /// Prints a table, or a JSON array of objects with aHeader as keys.
+  void PrintTable(const Row& aHeader, const std::vector<Row>& aRows);
   bool IsJson() const { return mOptions.mOutput == "json"; }
 
   Options mOptions;
--- a/apps/ctl_logs.cpp
+++ b/apps/ctl_logs.cpp
@@ -19,17 +19,17 @@
 
 namespace {
 
-/// A cause is looked for in the lines of so many seconds before a request.
-constexpr int kSecondsBefore = 10;
+/// How many seconds of lines before a request are searched for its cause.
+constexpr int kLeadSeconds = 10;
 
-/// Length of a time up to its seconds: "2026-06-29T19:57:24".
-constexpr std::size_t kSecondsEnd = 19;
+/// Length of a timestamp up to its seconds: "2026-06-29T19:57:24".
+constexpr std::size_t kTimestampLength = 19;
 
-/// Where the time of day begins in it.
-constexpr std::size_t kTimeOfDay = 11;
+/// Offset of the time of day in a timestamp.
+constexpr std::size_t kTimeOfDayOffset = 11;
 
-/// A line of a log.
-struct Line
+/// A parsed log line.
+struct LogLine
 {
   std::string mTime;
   std::string mFile;
@@ -37,7 +37,7 @@
 };
 
 std::string
-TextOf(const json::object& aFields, std::string_view aKey)
+StringField(const json::object& aFields, std::string_view aKey)
 {
   const auto* value = aFields.if_contains(aKey);
   return value != nullptr && value->is_string()
@@ -45,11 +45,12 @@
            : std::string();
 }
 
-/// Reads the lines that are JSON objects; others are of no process of ours.
+/// Reads the lines that are JSON objects and skips others, which none of the
+/// system's processes wrote.
 void
 ReadLines(const std::string& aFile,
           const std::string& aText,
-          std::vector<Line>& aLines)
+          std::vector<LogLine>& aLines)
 {
   std::istringstream stream(aText);
   for (std::string text; std::getline(stream, text);) {
@@ -57,41 +58,44 @@
     auto value = json::parse(text, error);
     if (!error && value.is_object()) {
       auto& fields = value.as_object();
-      aLines.push_back({ TextOf(fields, "time"), aFile, std::move(fields) });
+      aLines.push_back(
+        { StringField(fields, "time"), aFile, std::move(fields) });
     }
   }
 }
 
-/// Seconds of a day; -1 when it is no time.
+/// Second of the day of a timestamp; -1 when it cannot be parsed.
 int
 SecondOfDay(const std::string& aTime)
 {
   int hour = 0;
   int minute = 0;
   int second = 0;
-  const bool isTime =
-    aTime.size() >= kSecondsEnd &&
-    std::sscanf(
-      aTime.c_str() + kTimeOfDay, "%2d:%2d:%2d", &hour, &minute, &second) == 3;
+  const bool isTime = aTime.size() >= kTimestampLength &&
+                      std::sscanf(aTime.c_str() + kTimeOfDayOffset,
+                                  "%2d:%2d:%2d",
+                                  &hour,
+                                  &minute,
+                                  &second) == 3;
   return isTime ? (hour * 60 + minute) * 60 + second : -1;
 }
 
-/// Which lines of other matters belong to a request's story.
-struct Story
+/// Selects the lines without a request id that may explain a request's course.
+struct RequestContext
 {
-  std::set<std::string> mEndpoints; ///< that it met
-  std::set<std::string> mFiles;     ///< whose process served it
-  int mFrom = 0;
-  std::string mUntil; ///< time of its last line
+  std::set<std::string> mEndpoints; ///< that it was sent to
+  std::set<std::string> mFiles;     ///< logs of the processes that served it
+  int mFromSecond = 0;
+  std::string mUntilTime; ///< timestamp of its last line
 
-  bool Has(const Line& aLine) const
+  bool Includes(const LogLine& aLine) const
   {
     const int second = SecondOfDay(aLine.mTime);
-    if (second < mFrom || aLine.mTime > mUntil ||
+    if (second < mFromSecond || aLine.mTime > mUntilTime ||
         aLine.mFields.contains("request")) {
       return false;
     }
-    const auto endpoint = TextOf(aLine.mFields, "endpoint");
+    const auto endpoint = StringField(aLine.mFields, "endpoint");
     if (!endpoint.empty()) {
       return mEndpoints.contains(endpoint);
     }
@@ -99,42 +103,46 @@
   }
 };
 
-Story
-StoryOf(const std::vector<Line>& aOwn)
+RequestContext
+ContextOf(const std::vector<LogLine>& aRequestLines)
 {
-  Story story;
-  for (const auto& line : aOwn) {
-    story.mFiles.insert(line.mFile);
-    if (const auto endpoint = TextOf(line.mFields, "endpoint");
+  RequestContext context;
+  for (const auto& line : aRequestLines) {
+    context.mFiles.insert(line.mFile);
+    if (const auto endpoint = StringField(line.mFields, "endpoint");
         !endpoint.empty()) {
-      story.mEndpoints.insert(endpoint);
+      context.mEndpoints.insert(endpoint);
     }
   }
-  story.mFrom = SecondOfDay(aOwn.front().mTime) - kSecondsBefore;
-  story.mUntil = aOwn.back().mTime;
-  return story;
+  context.mFromSecond = SecondOfDay(aRequestLines.front().mTime) - kLeadSeconds;
+  context.mUntilTime = aRequestLines.back().mTime;
+  return context;
 }
 
 void
-SortByTime(std::vector<Line>& aLines)
+SortByTime(std::vector<LogLine>& aLines)
 {
-  std::stable_sort(
-    aLines.begin(), aLines.end(), [](const Line& aLeft, const Line& aRight) {
-      return aLeft.mTime < aRight.mTime;
-    });
+  std::stable_sort(aLines.begin(),
+                   aLines.end(),
+                   [](const LogLine& aLeft, const LogLine& aRight) {
+                     return aLeft.mTime < aRight.mTime;
+                   });
 }
 
-/// The lines that name a request, by time.
-std::vector<Line>
-LinesOf(const std::string& aRequestId, const std::vector<Line>& aAll)
+/// The lines with a request's id, sorted by time.
+std::vector<LogLine>
+LinesOfRequest(const std::string& aRequestId,
+               const std::vector<LogLine>& aLines)
 {
-  std::vector<Line> own;
-  std::copy_if(
-    aAll.begin(), aAll.end(), std::back_inserter(own), [&](const Line& aLine) {
-      return TextOf(aLine.mFields, "request") == aRequestId;
-    });
-  SortByTime(own);
-  return own;
+  std::vector<LogLine> requestLines;
+  std::copy_if(aLines.begin(),
+               aLines.end(),
+               std::back_inserter(requestLines),
+               [&](const LogLine& aLine) {
+                 return StringField(aLine.mFields, "request") == aRequestId;
+               });
+  SortByTime(requestLines);
+  return requestLines;
 }
 
 } // namespace
@@ -145,30 +153,30 @@
              std::ostream& aOut,
              std::ostream& aErrors)
 {
-  std::vector<Line> all;
+  std::vector<LogLine> lines;
   for (const auto& file : aFiles) {
-    const auto text = ReadFile(file);
+    const auto text = ReadTextFile(file);
     if (!text) {
       aErrors << text.error().Describe() << "\n";
-      return Code(ExitCode::kBadInput);
+      return ToExitStatus(ExitCode::kBadInput);
     }
-    ReadLines(file, *text, all);
+    ReadLines(file, *text, lines);
   }
-  auto shown = LinesOf(aRequestId, all);
+  auto shown = LinesOfRequest(aRequestId, lines);
   if (shown.empty()) {
     aErrors << "no line of request " << aRequestId << "\n";
-    return Code(ExitCode::kNotFound);
+    return ToExitStatus(ExitCode::kNotFound);
   }
-  const Story story = StoryOf(shown);
-  std::copy_if(all.begin(),
-               all.end(),
+  const RequestContext context = ContextOf(shown);
+  std::copy_if(lines.begin(),
+               lines.end(),
                std::back_inserter(shown),
-               [&](const Line& aLine) { return story.Has(aLine); });
+               [&](const LogLine& aLine) { return context.Includes(aLine); });
   SortByTime(shown);
   for (const auto& line : shown) {
     aOut << line.mFile << " " << json::serialize(line.mFields) << "\n";
   }
-  return Code(ExitCode::kDone);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 } // namespace shuntjunction::ctl
--- a/apps/ctl_logs.h
+++ b/apps/ctl_logs.h
@@ -6,14 +6,17 @@
 
 #include "ctl_commands.h"
 
-/// What the logs of relays and companions say of one request.
+/// Traces one request through the logs of relays and companions.
 namespace shuntjunction::ctl {
 
-/// Prints the lines of a request, and those from shortly before it until its
-/// end that changed what a process believed of the endpoints that it met, of
-/// the configuration or of the store; all in the order of their times.
+/// Prints the log lines of a request in order of time.
 ///
-/// @param aFiles  logs, one a process, named in what is printed
+/// Includes lines without a request id from shortly before the request until
+/// its end: those about the endpoints that it used, and those about no endpoint
+/// from the processes that served it. They show what changed in a process's
+/// view of the endpoints, the configuration or the store.
+///
+/// @param aFiles  log files, one per process; each printed line names its file
 /// @return kNotFound when no line has the id, kBadInput when a file cannot be
 ///         read
 int
--- a/apps/ctl_processes.cpp
+++ b/apps/ctl_processes.cpp
@@ -1,4 +1,4 @@
-// Commands that look at processes or follow the platform.
+// Commands that query processes or watch the platform.
 
 #include "ctl_commands.h"
 
@@ -26,12 +26,12 @@
 namespace {
 
 constexpr Millis kWatchWait{ 20000 };
-constexpr Millis kInForcePoll{ 200 };
+constexpr Millis kActivationPollInterval{ 200 };
 
 } // namespace
 
 Result<std::vector<json::object>>
-Commands::Statuses()
+Commands::ReadStatuses()
 {
   const auto list = List(std::string(coordination::kStatusPrefix));
   if (!list) {
@@ -50,27 +50,27 @@
 int
 Commands::Status()
 {
-  const auto statuses = Statuses();
+  const auto statuses = ReadStatuses();
   if (!statuses) {
-    return Fail(statuses.error());
+    return ReportError(statuses.error());
   }
   const auto text = [](const json::object& aStatus, std::string_view aKey) {
     const auto* value = aStatus.if_contains(aKey);
-    return value == nullptr ? std::string("-") : Shown(*value);
+    return value == nullptr ? std::string("-") : FormatValue(*value);
   };
-  const Row head{ "name",     "role",  "zone",    "epoch", "version",
-                  "stopping", "model", "weights", "admin", "quarantined" };
+  const Row header{ "name",     "role",  "zone",    "epoch", "version",
+                    "stopping", "model", "weights", "admin", "quarantined" };
   std::vector<Row> rows;
   for (const auto& status : *statuses) {
     Row row;
-    row.reserve(head.size());
-    for (const auto& key : head) {
+    row.reserve(header.size());
+    for (const auto& key : header) {
       row.push_back(text(status, key));
     }
     rows.push_back(std::move(row));
   }
-  Print(head, rows);
-  return Code(ExitCode::kDone);
+  PrintTable(header, rows);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
@@ -78,55 +78,56 @@
 {
   const auto list = List(std::string(state::kConfigPrefix));
   if (!list) {
-    return Fail(list.error());
+    return ReportError(list.error());
   }
   std::uint64_t after = list->mRevision;
-  std::int64_t seen = 0;
-  while (mOptions.mChanges == 0 || seen < mOptions.mChanges) {
+  std::int64_t printed = 0;
+  while (mOptions.mChanges == 0 || printed < mOptions.mChanges) {
     const auto watch = transport::RunTask(
       mContext,
       mPlatform.Watch(std::string(state::kConfigPrefix), after, kWatchWait));
     if (!watch) {
-      return Fail(watch.error());
+      return ReportError(watch.error());
     }
     for (const auto& change : watch->mChanges) {
       mOut << change.mRevision << "  " << ShortKey(change.mKey) << "  "
            << (change.mValue.empty() ? "deleted" : change.mValue) << std::endl;
-      ++seen;
+      ++printed;
     }
     after = watch->mRevision;
   }
-  return Code(ExitCode::kDone);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
 Commands::Adopt()
 {
-  const auto statuses = Statuses();
+  const auto statuses = ReadStatuses();
   const auto found = Read(std::string(state::kEpochKey));
   if (!statuses || !found) {
-    return Fail(statuses ? found.error() : statuses.error());
+    return ReportError(statuses ? found.error() : statuses.error());
   }
-  std::uint64_t highest = 0;
+  std::uint64_t maxEpoch = 0;
   for (const auto& status : *statuses) {
-    highest = std::max(highest, status.at("epoch").to_number<std::uint64_t>());
+    maxEpoch =
+      std::max(maxEpoch, status.at("epoch").to_number<std::uint64_t>());
   }
   if (*found) {
     const auto value = state::ParseJson((*found)->mValue, state::kEpochKey);
     const auto epoch =
       value ? state::ReadEpoch(*value) : Result<std::uint64_t>(0);
-    highest = std::max(highest, epoch.value_or(0));
+    maxEpoch = std::max(maxEpoch, epoch.value_or(0));
   }
   const auto written =
     Write(std::string(state::kEpochKey),
-          json::serialize(json::object{ { "epoch", highest + 1 } }),
+          json::serialize(json::object{ { "epoch", maxEpoch + 1 } }),
           *found ? (*found)->mRevision : 0);
   if (!written) {
-    return Fail(written.error());
+    return ReportError(written.error());
   }
-  mOut << "epoch " << highest + 1 << ": what the platform holds now comes into "
-       << "force everywhere\n";
-  return Code(ExitCode::kDone);
+  mOut << "epoch " << maxEpoch + 1 << ": every process will follow the "
+       << "platform's current objects\n";
+  return ToExitStatus(ExitCode::kDone);
 }
 
 int
@@ -135,112 +136,114 @@
   HttpRequest request;
   request.mMethod = "POST";
   request.mTarget = "/drain";
-  const auto answer = Ask(std::move(request));
-  if (!answer) {
-    return Fail(answer.error());
+  const auto response = SendAdminRequest(std::move(request));
+  if (!response) {
+    return ReportError(response.error());
   }
-  mOut << answer->mBody;
-  return Code(answer->mStatus == 202 ? ExitCode::kDone : ExitCode::kBadInput);
+  mOut << response->mBody;
+  return ToExitStatus(response->mStatus == 202 ? ExitCode::kDone
+                                               : ExitCode::kBadInput);
 }
 
 int
 Commands::Explain()
 {
-  const auto body = ReadFile(mOptions.mFile);
+  const auto body = ReadTextFile(mOptions.mFile);
   if (!body) {
-    return Fail(body.error());
+    return ReportError(body.error());
   }
   HttpRequest request;
   request.mMethod = "POST";
   request.mTarget = "/explain?team=" + mOptions.mTeam;
   request.mContentType = "application/json";
   request.mBody = *body;
-  const auto answer = Ask(std::move(request));
-  if (!answer) {
-    return Fail(answer.error());
+  const auto response = SendAdminRequest(std::move(request));
+  if (!response) {
+    return ReportError(response.error());
   }
-  if (answer->mStatus != 200) {
-    mErr << "shuntctl: " << answer->mBody;
-    return Code(ExitCode::kBadInput);
+  if (response->mStatus != 200) {
+    mErr << "shuntctl: " << response->mBody;
+    return ToExitStatus(ExitCode::kBadInput);
   }
-  const auto value = state::ParseJson(answer->mBody, "answer");
+  const auto value = state::ParseJson(response->mBody, "answer");
   std::vector<Row> rows;
   for (const auto& item : value->as_object().at("endpoints").as_array()) {
     const auto& row = item.as_object();
     const bool isCandidate = row.at("candidate").as_bool();
-    std::string why = "outside the prompt's group";
+    std::string reason = "not a candidate for this prompt";
     if (row.at("chosen").as_bool()) {
-      why = "chosen: the lowest cost";
+      reason = "chosen: lowest cost";
     } else if (isCandidate) {
-      why = row.at("replied").as_bool() ? "asked: costs more"
-                                        : "asked: no answer, or not accepting";
+      reason = row.at("replied").as_bool()
+                 ? "probed: higher cost"
+                 : "probed: no reply, or not accepting";
     }
-    rows.push_back({ Shown(row.at("endpoint")),
-                     Shown(row.at("zone")),
-                     Shown(row.at("health")),
-                     isCandidate ? Shown(row.at("cachedBlocks")) : "-",
-                     isCandidate ? Shown(row.at("waitMicros")) : "-",
-                     isCandidate ? Shown(row.at("costMicros")) : "-",
-                     why });
-  }
-  Print({ "endpoint",
-          "zone",
-          "health",
-          "cached blocks",
-          "wait us",
-          "cost us",
-          "why" },
-        rows);
-  return Code(ExitCode::kDone);
+    rows.push_back({ FormatValue(row.at("endpoint")),
+                     FormatValue(row.at("zone")),
+                     FormatValue(row.at("health")),
+                     isCandidate ? FormatValue(row.at("cachedBlocks")) : "-",
+                     isCandidate ? FormatValue(row.at("waitMicros")) : "-",
+                     isCandidate ? FormatValue(row.at("costMicros")) : "-",
+                     reason });
+  }
+  PrintTable({ "endpoint",
+               "zone",
+               "health",
+               "cached blocks",
+               "wait us",
+               "cost us",
+               "why" },
+             rows);
+  return ToExitStatus(ExitCode::kDone);
 }
 
 Result<std::vector<std::string>>
-Commands::NotInForce(std::uint64_t aRevision)
+Commands::OutdatedInstances(std::uint64_t aRevision)
 {
   const auto live =
     transport::RunTask(mContext, mPlatform.Instances(0, Millis(0)));
-  const auto statuses = Statuses();
+  const auto statuses = ReadStatuses();
   if (!live || !statuses) {
     return tl::unexpected(live ? statuses.error() : live.error());
   }
-  std::vector<std::string> late;
+  std::vector<std::string> outdated;
   for (const auto& instance : live->mInstances) {
-    const auto said =
-      std::find_if(statuses->begin(), statuses->end(), [&](const auto& aOne) {
-        return Shown(aOne.at("name")) == instance.mName;
+    const auto reported = std::find_if(
+      statuses->begin(), statuses->end(), [&](const auto& aStatus) {
+        return FormatValue(aStatus.at("name")) == instance.mName;
       });
-    const bool isInForce =
-      said != statuses->end() &&
-      said->at("version").template to_number<std::uint64_t>() >= aRevision;
-    if (!instance.mIsLeaving && !isInForce) {
-      late.push_back(instance.mName);
+    const bool isActive =
+      reported != statuses->end() &&
+      reported->at("version").template to_number<std::uint64_t>() >= aRevision;
+    if (!instance.mIsLeaving && !isActive) {
+      outdated.push_back(instance.mName);
     }
   }
-  return late;
+  return outdated;
 }
 
 int
-Commands::AwaitInForce(std::uint64_t aRevision)
+Commands::AwaitActivation(std::uint64_t aRevision)
 {
-  const auto until = state::BootClock::now() + Millis(mOptions.mWaitMs);
-  auto late = NotInForce(aRevision);
-  while (late && !late->empty() && state::BootClock::now() < until) {
-    std::this_thread::sleep_for(kInForcePoll);
-    late = NotInForce(aRevision);
+  const auto deadline = state::BootClock::now() + Millis(mOptions.mWaitMs);
+  auto outdated = OutdatedInstances(aRevision);
+  while (outdated && !outdated->empty() && state::BootClock::now() < deadline) {
+    std::this_thread::sleep_for(kActivationPollInterval);
+    outdated = OutdatedInstances(aRevision);
   }
-  if (!late) {
-    return Fail(late.error());
+  if (!outdated) {
+    return ReportError(outdated.error());
   }
-  if (late->empty()) {
+  if (outdated->empty()) {
     mOut << "in force on every live process\n";
-    return Code(ExitCode::kDone);
+    return ToExitStatus(ExitCode::kDone);
   }
-  mErr << "shuntctl: not yet said to be in force on:";
-  for (const auto& name : *late) {
+  mErr << "shuntctl: not reported to be in force on:";
+  for (const auto& name : *outdated) {
     mErr << " " << name;
   }
   mErr << "\n";
-  return Code(ExitCode::kNotInForce);
+  return ToExitStatus(ExitCode::kNotActive);
 }
 
 } // namespace shuntjunction::ctl
--- a/apps/ctl_text.cpp
+++ b/apps/ctl_text.cpp
@@ -14,7 +14,7 @@
 using state::Result;
 
 int
-Code(ExitCode aCode)
+ToExitStatus(ExitCode aCode)
 {
   return static_cast<int>(aCode);
 }
@@ -33,21 +33,21 @@
 }
 
 std::string
-Canonical(const std::string& aText)
+CanonicalJson(const std::string& aText)
 {
   const auto value = state::ParseJson(aText, "value");
   return value ? json::serialize(*value) : aText;
 }
 
 std::string
-Shown(const json::value& aValue)
+FormatValue(const json::value& aValue)
 {
   return aValue.is_string() ? std::string(aValue.as_string())
                             : json::serialize(aValue);
 }
 
 Result<std::string>
-ReadFile(const std::string& aFile)
+ReadTextFile(const std::string& aFile)
 {
   std::ifstream stream(aFile);
   if (!stream) {
--- a/apps/ctl_text.h
+++ b/apps/ctl_text.h
@@ -8,35 +8,39 @@
 #include "shuntjunction/state/clock.h"
 #include "shuntjunction/state/error.h"
 
-/// Small things that shuntctl's commands share.
+/// Constants and text helpers that shuntctl's commands share.
 namespace shuntjunction::ctl {
 
-/// Longest wait for one answer.
-inline constexpr state::Millis kTimeout{ 5000 };
+/// Timeout of a call to the platform or to a process.
+inline constexpr state::Millis kCallTimeout{ 5000 };
 
-/// Longest answer of a process.
-inline constexpr std::size_t kMaxAnswerBytes = 16UL * 1024 * 1024;
+/// Maximum size of a process's response.
+inline constexpr std::size_t kMaxResponseBytes = 16UL * 1024 * 1024;
 
-/// An exit code as main returns it.
+/// Converts an exit code to the value that main returns.
 int
-Code(ExitCode aCode);
+ToExitStatus(ExitCode aCode);
 
-/// "teams/riga" as the platform's key, and back.
+/// The platform's key of an object name such as "teams/riga"; a name that is a
+/// key already stays as it is.
 std::string
 FullKey(const std::string& aName);
+
+/// The object name in a key of the platform: the inverse of FullKey.
 std::string
 ShortKey(const std::string& aKey);
 
-/// One spelling for equal values, so that a diff shows only real changes.
+/// Serializes JSON text in one form, so that a diff ignores differences of
+/// layout; text that is not JSON stays as it is.
 std::string
-Canonical(const std::string& aText);
+CanonicalJson(const std::string& aText);
 
-/// A value as a table shows it.
+/// Formats a value for a table: a string without quotes, else as JSON.
 std::string
-Shown(const boost::json::value& aValue);
+FormatValue(const boost::json::value& aValue);
 
-/// The whole text of a file.
+/// Reads a whole file. Errors: kInvalidArgument when it cannot be opened.
 state::Result<std::string>
-ReadFile(const std::string& aFile);
+ReadTextFile(const std::string& aFile);
 
 } // namespace shuntjunction::ctl
--- a/apps/shuntctl.cpp
+++ b/apps/shuntctl.cpp
@@ -1,4 +1,4 @@
-// shuntctl: the operators' client.
+// shuntctl: the operators' command-line client.
 
 #include <iostream>
 
@@ -16,7 +16,7 @@
 {
   aCommand
     .add_option(
-      "--platform", aOptions.mPlatform, "IP:PORT of the platform's objects")
+      "--platform", aOptions.mPlatform, "IP:PORT of the platform's object API")
     ->envname("SHUNTCTL_PLATFORM")
     ->required();
 }
@@ -25,10 +25,11 @@
 AddAdmin(CLI::App& aCommand, ctl::Options& aOptions)
 {
   aCommand
-    .add_option("--admin", aOptions.mAdmin, "operators' port of a process")
+    .add_option(
+      "--admin", aOptions.mAdmin, "IP:PORT of a process's admin interface")
     ->required();
   aCommand
-    .add_option("--secret", aOptions.mSecret, "the shared secret of the system")
+    .add_option("--secret", aOptions.mSecret, "shared secret of the system")
     ->envname("SHUNTCTL_SECRET")
     ->required();
 }
@@ -39,38 +40,40 @@
 main(int aCount, char** aArguments)
 {
   CLI::App app(
-    "Declares templates, teams, models and endpoints, and watches "
-    "every router come in line.\n\nExit codes: 0 done; 1 usage; 2 bad "
-    "input; 3 conflict: another operator was faster; 4 the platform "
-    "or process does not answer; 5 not found; 6 not in force in time.");
+    "Declares templates, teams, models and endpoints, and shows whether "
+    "every process has applied them.\n\nExit codes: 0 done; 1 usage; 2 bad "
+    "input; 3 conflict: another operator changed the object first; 4 the "
+    "platform or process does not answer; 5 not found; 6 not in force in "
+    "time.");
   ctl::Options options;
   app.set_version_flag("--version", SHUNTJUNCTION_VERSION);
   app.require_subcommand(1);
   app.fallthrough();
-  app
-    .add_option(
-      "--output", options.mOutput, "table for people, json for programs")
+  app.add_option("--output", options.mOutput, "output format: table or json")
     ->check(CLI::IsMember({ "table", "json" }));
 
   auto* apply = app.add_subcommand(
-    "apply", "write objects of a file, each on condition of its revision");
+    "apply",
+    "write the objects of a file, each only if its revision is unchanged");
   AddPlatform(*apply, options);
   apply->add_option("file", options.mFile, "JSON: {\"KIND/NAME\": {...}, ...}")
     ->required();
   apply->add_option(
     "--if-revision",
     options.mIfRevision,
-    "only if the one object has this revision; 0: only if it does not exist");
-  apply->add_option("--wait-ms",
-                    options.mWaitMs,
-                    "wait until it is in force on every live process");
+    "write only if the file's one object has this revision; 0: only if it "
+    "does not exist");
+  apply->add_option(
+    "--wait-ms",
+    options.mWaitMs,
+    "milliseconds to wait until it is in force on every live process");
 
   auto* get = app.add_subcommand("get", "show objects");
   AddPlatform(*get, options);
   get->add_option("name", options.mName, "KIND/NAME, KIND, or nothing for all");
 
   auto* diff =
-    app.add_subcommand("diff", "what apply would change, without doing it");
+    app.add_subcommand("diff", "show what apply would change, without writing");
   AddPlatform(*diff, options);
   diff->add_option("file", options.mFile)->required();
 
@@ -80,32 +83,36 @@
   erase->add_option("--if-revision", options.mIfRevision);
 
   auto* status =
-    app.add_subcommand("status", "what every process has in force");
+    app.add_subcommand("status", "show what every process has in force");
   AddPlatform(*status, options);
 
-  auto* watch = app.add_subcommand("watch", "follow changes as they come");
+  auto* watch = app.add_subcommand("watch", "print changes as they happen");
   AddPlatform(*watch, options);
   watch->add_option(
-    "--changes", options.mChanges, "end after so many; 0 never");
+    "--changes", options.mChanges, "exit after this many changes; 0: never");
 
   auto* adopt = app.add_subcommand(
-    "adopt", "take over a platform that was restored to an older state");
+    "adopt", "make every process follow a platform restored to an older state");
   AddPlatform(*adopt, options);
 
-  auto* drain = app.add_subcommand("drain", "stop a process without a cut");
+  auto* drain = app.add_subcommand("drain", "stop a process gracefully");
   AddAdmin(*drain, options);
 
   auto* explain = app.add_subcommand(
-    "explain", "which endpoint a router would choose for a call, and why");
+    "explain",
+    "show which endpoint a router would choose for a request, and why");
   AddAdmin(*explain, options);
   explain->add_option("--team", options.mTeam)->required();
-  explain->add_option("file", options.mFile, "body of a chat call")->required();
+  explain
+    ->add_option("file", options.mFile, "body of a chat completion request")
+    ->required();
 
   auto* trace = app.add_subcommand(
-    "trace", "what the logs of relays and companions say of one request");
+    "trace",
+    "print the lines of one request from the logs of relays and companions");
   std::vector<std::string> logs;
-  trace->add_option("id", options.mName, "id of the request")->required();
-  trace->add_option("logs", logs, "files, one a process")->required();
+  trace->add_option("id", options.mName, "request id")->required();
+  trace->add_option("logs", logs, "log files, one per process")->required();
 
   CLI11_PARSE(app, aCount, aArguments);
 
--- a/apps/shuntjunctiond.cpp
+++ b/apps/shuntjunctiond.cpp
@@ -1,5 +1,6 @@
-// shuntjunctiond: a router or a companion, by its settings; or, before the
-// users' platform, a relay or the companion of an engine behind relays.
+// shuntjunctiond: the daemon. Its settings file makes it a router or a
+// companion. On the users' platform, which names the file in an environment
+// variable, it is a relay or the companion of an engine behind relays.
 
 #include <cstdlib>
 #include <fstream>
@@ -26,14 +27,14 @@
 constexpr int kExitBadSettings = 2;
 constexpr int kExitNotStarted = 3;
 
-/// Of a call to the platform's store, beside the wait of a watch.
+/// Timeout of a call to the platform's store; a watch adds its own wait.
 constexpr state::Millis kStoreTimeout{ 700 };
 
-/// Of a call to the engine on this machine.
+/// Timeout of a call to the engine on this instance.
 constexpr state::Millis kEngineTimeout{ 250 };
 
 state::Result<std::string>
-ReadText(const std::string& aFile)
+ReadTextFile(const std::string& aFile)
 {
   std::ifstream stream(aFile);
   if (!stream) {
@@ -48,9 +49,9 @@
 }
 
 state::Result<state::Settings>
-ReadFile(const std::string& aFile)
+ReadSettingsFile(const std::string& aFile)
 {
-  const auto text = ReadText(aFile);
+  const auto text = ReadTextFile(aFile);
   if (!text) {
     return tl::unexpected(text.error());
   }
@@ -58,26 +59,27 @@
 }
 
 state::Result<coordination::FleetSettings>
-ReadBootFile(const std::string& aFile)
+ReadBootSettingsFile(const std::string& aFile)
 {
-  const auto text = ReadText(aFile);
+  const auto text = ReadTextFile(aFile);
   if (!text) {
     return tl::unexpected(text.error());
   }
   return platform::ReadBootSettings(*text, aFile);
 }
 
-/// Runs a process before the users' platform, as its settings file says.
+/// Runs a process on the users' platform, with the role that its settings file
+/// gives.
 int
-RunFleetProcess(const std::string& aFile, bool aIsCheck)
+RunFleetProcess(const std::string& aFile, bool aIsCheckOnly)
 {
-  const auto settings = ReadBootFile(aFile);
+  const auto settings = ReadBootSettingsFile(aFile);
   if (!settings) {
     std::cerr << settings.error().Describe() << "\n";
     return kExitBadSettings;
   }
-  if (aIsCheck) {
-    std::cout << aFile << " is good.\n";
+  if (aIsCheckOnly) {
+    std::cout << aFile << " is valid.\n";
     return 0;
   }
   const auto store = state::ParseAddress(settings->mPlatform);
@@ -94,7 +96,7 @@
         return std::make_unique<platform::HttpEngineControl>(aAddress,
                                                              kEngineTimeout);
       } },
-    [aFile] { return ReadBootFile(aFile); });
+    [aFile] { return ReadBootSettingsFile(aFile); });
   const auto started = daemon->Start();
   if (!started) {
     std::cerr << started.error().Describe() << "\n";
@@ -102,8 +104,9 @@
   }
   daemon->Run();
   daemon.reset();
-  // Everything of ours has ended and is logged. The libraries' own clean-up at
-  // exit waits for threads that are idle, until the grace has run out.
+  // The daemon has stopped and its log is written. quick_exit skips the
+  // libraries' exit handlers, which would wait for idle threads until the
+  // platform's stop grace has run out.
   std::quick_exit(0);
 }
 
@@ -114,23 +117,23 @@
 {
   CLI::App app("shuntjunction: a router or companion process.");
   std::string file;
-  bool isCheck = false;
+  bool isCheckOnly = false;
   app.add_option("--settings", file, "settings file, JSON with comments");
-  app.add_flag("--check", isCheck, "check the settings and exit");
+  app.add_flag("--check", isCheckOnly, "check the settings and exit");
   app.set_version_flag("--version", SHUNTJUNCTION_VERSION);
   CLI11_PARSE(app, aCount, aArguments);
 
   const char* bootFile = std::getenv(platform::kConfigFileVariable);
   if (file.empty() && bootFile != nullptr) {
-    return RunFleetProcess(bootFile, isCheck);
+    return RunFleetProcess(bootFile, isCheckOnly);
   }
-  const auto settings = ReadFile(file);
+  const auto settings = ReadSettingsFile(file);
   if (!settings) {
     std::cerr << settings.error().Describe() << "\n";
     return kExitBadSettings;
   }
-  if (isCheck) {
-    std::cout << file << " is good.\n";
+  if (isCheckOnly) {
+    std::cout << file << " is valid.\n";
     return 0;
   }
   coordination::StartLog(settings->mLogFormat, settings->mLogLevel);
