--- a/apps/ctl_processes.cpp
+++ b/apps/ctl_processes.cpp
@@ -170,13 +170,13 @@
   for (const auto& item : value->as_object().at("endpoints").as_array()) {
     const auto& row = item.as_object();
     const bool isCandidate = row.at("candidate").as_bool();
-    std::string reason = "not a candidate for this prompt";
+    std::string reason = "outside the prompt's group";
     if (row.at("chosen").as_bool()) {
-      reason = "chosen: lowest cost";
+      reason = "chosen: the lowest cost";
     } else if (isCandidate) {
       reason = row.at("replied").as_bool()
-                 ? "probed: higher cost"
-                 : "probed: no reply, or not accepting";
+                 ? "asked: costs more"
+                 : "asked: no answer, or not accepting";
     }
     rows.push_back({ FormatValue(row.at("endpoint")),
                      FormatValue(row.at("zone")),
