--- a/bench/fleet_slopes.cpp
+++ b/bench/fleet_slopes.cpp
@@ -1,5 +1,6 @@
-// shuntslopes: what real routers and companions cost by what grows: open
-// streams, tokens, requests, idle time; and what they add to a direct call.
+// shuntslopes: measures how memory, processor time and traffic of real routers
+// and companions scale with open streams, tokens, requests, configuration and
+// fleet size; also the cost of idling and the latency added to a direct call.
 
 #include <algorithm>
 #include <functional>
@@ -16,18 +17,18 @@
 namespace shuntjunction::bench {
 namespace {
 
-using standins::CallerCall;
 using standins::Fleet;
+using standins::ModelCall;
 using state::Millis;
 
-/// A size and what was measured at it.
+/// Measured value at a load size.
 struct Point
 {
   double mSize = 0;
   double mValue = 0;
 };
 
-/// Prints points with the straight line of least squares and its residue.
+/// Prints the points, a least-squares line and its largest residual.
 void
 PrintFit(const std::string& aName,
          const std::string& aUnit,
@@ -58,13 +59,13 @@
   std::fflush(stdout);
 }
 
-/// A router, an endpoint and a team of their own for each measurement.
-class OneOfEach
+/// A new fleet of one router, one endpoint and one team.
+class MinimalSetup
 {
 public:
-  OneOfEach(const std::string& aBinaries,
-            const std::string& aName,
-            std::int64_t aMicrosPerToken)
+  MinimalSetup(const std::string& aBinaries,
+               const std::string& aName,
+               std::int64_t aMicrosPerToken)
     : mFleet(Settings(aBinaries, aName))
   {
     mFleet.StartPlatform();
@@ -85,9 +86,9 @@
     mFleet.AwaitReady("r");
   }
 
-  std::vector<CallerCall> Calls(std::size_t aCount, std::uint32_t aTokens)
+  std::vector<ModelCall> Calls(std::size_t aCount, std::uint32_t aTokens)
   {
-    std::vector<CallerCall> calls(aCount);
+    std::vector<ModelCall> calls(aCount);
     for (std::size_t i = 0; i < aCount; ++i) {
       calls[i].mRouter = mFleet.Process("r").mTraffic;
       calls[i].mKey = "k";
@@ -116,7 +117,7 @@
 };
 
 std::int64_t
-Resident(const Fleet& aFleet, const std::string& aName)
+PeakKilobytes(const Fleet& aFleet, const std::string& aName)
 {
   return aFleet.Usage(aName).first;
 }
@@ -127,18 +128,18 @@
   std::vector<Point> router;
   std::vector<Point> companion;
   constexpr std::int64_t kMicrosPerToken = 400000;
-  constexpr Millis kAllOpen{ 2500 };
+  constexpr Millis kOpenDelay{ 2500 };
   for (const std::size_t streams : { 50U, 100U, 200U, 400U }) {
-    OneOfEach one(
+    MinimalSetup setup(
       aBinaries, "streams-" + std::to_string(streams), kMicrosPerToken);
-    standins::MakeCalls(one.Calls(1, 2));
-    const auto routerBefore = Resident(one.mFleet, "r");
-    const auto companionBefore = Resident(one.mFleet, "e");
+    standins::MakeCalls(setup.Calls(1, 2));
+    const auto routerBefore = PeakKilobytes(setup.mFleet, "r");
+    const auto companionBefore = PeakKilobytes(setup.mFleet, "e");
     std::int64_t routerAfter = 0;
     std::int64_t companionAfter = 0;
-    standins::MakeCalls(one.Calls(streams, 10), kAllOpen, [&] {
-      routerAfter = Resident(one.mFleet, "r");
-      companionAfter = Resident(one.mFleet, "e");
+    standins::MakeCalls(setup.Calls(streams, 10), kOpenDelay, [&] {
+      routerAfter = PeakKilobytes(setup.mFleet, "r");
+      companionAfter = PeakKilobytes(setup.mFleet, "e");
     });
     const auto size = static_cast<double>(streams);
     router.push_back({ size, static_cast<double>(routerAfter - routerBefore) });
@@ -149,28 +150,28 @@
   PrintFit("companion: memory by open streams", "KB", companion);
 }
 
-/// Processor time of both processes for work of several sizes.
+/// Measures processor time of router and companion for several loads.
 ///
-/// @param aWork  does the work of a size before a fleet; returns what it counts
+/// @param aWork  applies a load of the given size; returns the units done
 void
 MeasureProcessorTime(
   const std::string& aBinaries,
   const std::string& aWhat,
   const std::vector<std::uint32_t>& aSizes,
-  const std::function<double(OneOfEach&, std::uint32_t)>& aWork)
+  const std::function<double(MinimalSetup&, std::uint32_t)>& aWork)
 {
   std::vector<Point> router;
   std::vector<Point> companion;
   for (const std::uint32_t size : aSizes) {
-    OneOfEach one(aBinaries, aWhat + "-" + std::to_string(size), 1000);
-    standins::MakeCalls(one.Calls(1, 2));
-    const double routerBefore = one.mFleet.Usage("r").second;
-    const double companionBefore = one.mFleet.Usage("e").second;
-    const double done = aWork(one, size);
+    MinimalSetup setup(aBinaries, aWhat + "-" + std::to_string(size), 1000);
+    standins::MakeCalls(setup.Calls(1, 2));
+    const double routerBefore = setup.mFleet.Usage("r").second;
+    const double companionBefore = setup.mFleet.Usage("e").second;
+    const double done = aWork(setup, size);
     router.push_back(
-      { done, 1e6 * (one.mFleet.Usage("r").second - routerBefore) });
+      { done, 1e6 * (setup.mFleet.Usage("r").second - routerBefore) });
     companion.push_back(
-      { done, 1e6 * (one.mFleet.Usage("e").second - companionBefore) });
+      { done, 1e6 * (setup.mFleet.Usage("e").second - companionBefore) });
   }
   PrintFit("router: processor time by " + aWhat, "us", router);
   PrintFit("companion: processor time by " + aWhat, "us", companion);
@@ -182,9 +183,9 @@
   MeasureProcessorTime(aBinaries,
                        "tokens",
                        { 500, 1000, 2000, 4000 },
-                       [](OneOfEach& aOne, std::uint32_t aTokens) {
+                       [](MinimalSetup& aSetup, std::uint32_t aTokens) {
                          constexpr std::size_t kStreams = 20;
-                         standins::MakeCalls(aOne.Calls(kStreams, aTokens));
+                         standins::MakeCalls(aSetup.Calls(kStreams, aTokens));
                          return static_cast<double>(kStreams) * aTokens;
                        });
 }
@@ -195,11 +196,11 @@
   MeasureProcessorTime(aBinaries,
                        "requests of 10 KB",
                        { 250, 500, 1000, 2000 },
-                       [](OneOfEach& aOne, std::uint32_t aRequests) {
+                       [](MinimalSetup& aSetup, std::uint32_t aRequests) {
                          constexpr std::size_t kAtOnce = 50;
                          for (std::size_t done = 0; done < aRequests;
                               done += kAtOnce) {
-                           standins::MakeCalls(aOne.Calls(kAtOnce, 1));
+                           standins::MakeCalls(aSetup.Calls(kAtOnce, 1));
                          }
                          return static_cast<double>(aRequests);
                        });
@@ -208,33 +209,33 @@
 void
 MeasureEvents(const std::string& aBinaries)
 {
-  // Each prompt is new, so that each of its blocks is an event; the cost of
-  // the same requests without new blocks is in the line of least squares.
+  // Each prompt is new, so that each block causes one event. The cost per
+  // request that does not depend on blocks is the intercept of the fitted line.
   std::vector<Point> companion;
   constexpr std::size_t kRequests = 40;
   for (const std::size_t blocks : { 64U, 128U, 256U, 512U }) {
-    OneOfEach one(aBinaries, "events-" + std::to_string(blocks), 1000);
-    standins::MakeCalls(one.Calls(1, 2));
-    const double before = one.mFleet.Usage("e").second;
+    MinimalSetup setup(aBinaries, "events-" + std::to_string(blocks), 1000);
+    standins::MakeCalls(setup.Calls(1, 2));
+    const double before = setup.mFleet.Usage("e").second;
     for (std::size_t i = 0; i < kRequests; ++i) {
-      auto calls = one.Calls(1, 1);
+      auto calls = setup.Calls(1, 1);
       calls[0].mLevels = { "prompt " + std::to_string(i) +
                            std::string(blocks * 256, 'p') };
       standins::MakeCalls(calls);
     }
-    std::this_thread::sleep_for(Millis(500)); // The events come late.
+    std::this_thread::sleep_for(Millis(500)); // Events arrive with a delay.
     const auto size = static_cast<double>(kRequests * blocks);
     companion.push_back(
-      { size, 1e6 * (one.mFleet.Usage("e").second - before) });
+      { size, 1e6 * (setup.mFleet.Usage("e").second - before) });
   }
   PrintFit("companion: processor time by new blocks (prompt and event)",
            "us",
            companion);
 }
 
-/// Seconds until a new model is known to all routers.
+/// Seconds until all routers serve a newly configured model.
 double
-TimeToBeInForce(Fleet& aFleet,
+PropagationTime(Fleet& aFleet,
                 const std::vector<std::string>& aRouters,
                 const std::string& aModel)
 {
@@ -244,10 +245,10 @@
     transport::HttpRequest request;
     request.mTarget = "/v1/models";
     request.mFields = { { "authorization", "Bearer k" } };
-    bool isInForce = false;
-    while (!isInForce) {
+    bool hasModel = false;
+    while (!hasModel) {
       const auto answer = Fleet::Call(aFleet.Process(name).mTraffic, request);
-      isInForce = answer && answer->mBody.find(aModel) != std::string::npos;
+      hasModel = answer && answer->mBody.find(aModel) != std::string::npos;
     }
   }
   const std::chrono::duration<double> time = state::BootClock::now() - begin;
@@ -268,11 +269,11 @@
   return sum;
 }
 
-/// A fleet of some routers and four companions of one zone.
+/// A fleet of several routers and four companions in one zone.
 class ManyRouters
 {
 public:
-  /// @param aWatchers  settings of the watching, as JSON
+  /// @param aWatchers  value of the "watchers" setting, as JSON
   ManyRouters(const std::string& aBinaries,
               std::size_t aRouters,
               const std::string& aWatchers)
@@ -312,51 +313,53 @@
   }
 };
 
-/// What the platform is asked by watchers and by all, and how fast a change is
-/// in force. Watches of 2 s stand for the usual 30 s.
+/// Measures platform calls, peer traffic and propagation time of changes, with
+/// few watchers and with all processes watching. Watches time out after 2 s
+/// instead of the usual 30 s.
 void
 MeasureWatching(const std::string& aBinaries)
 {
   constexpr double kSeconds = 10;
   constexpr int kChanges = 10;
-  constexpr Millis kSettled{ 6000 };
-  for (const bool isFew : { false, true }) {
+  constexpr Millis kSettleTime{ 6000 };
+  for (const bool hasFewWatchers : { false, true }) {
     std::vector<Point> calls;
     std::vector<Point> bytes;
     std::vector<Point> slowest;
     for (const std::size_t routers : { 8U, 16U, 32U, 64U }) {
       ManyRouters many(aBinaries,
                        routers,
-                       isFew ? R"({"allBelow":0})" : R"({"allBelow":999})");
+                       hasFewWatchers ? R"({"allBelow":0})"
+                                      : R"({"allBelow":999})");
       Fleet& fleet = many.mFleet;
-      std::this_thread::sleep_for(kSettled);
-      const auto asked = [&] {
+      std::this_thread::sleep_for(kSettleTime);
+      const auto peerBytes = [&] {
         return fleet.Metric("r0", "shuntjunction_config_peer_bytes");
       };
       const double callsBefore = PlatformCalls(fleet);
-      const double bytesBefore = asked();
+      const double bytesBefore = peerBytes();
       std::this_thread::sleep_for(std::chrono::duration<double>(kSeconds));
       const auto size = static_cast<double>(routers);
       calls.push_back(
         { size, (PlatformCalls(fleet) - callsBefore) / kSeconds });
-      bytes.push_back({ size, (asked() - bytesBefore) / kSeconds });
+      bytes.push_back({ size, (peerBytes() - bytesBefore) / kSeconds });
       double worst = 0;
       for (int i = 0; i < kChanges; ++i) {
         worst = std::max(
           worst,
-          TimeToBeInForce(fleet, many.mRouters, "model-" + std::to_string(i)));
+          PropagationTime(fleet, many.mRouters, "model-" + std::to_string(i)));
       }
       slowest.push_back({ size, 1000 * worst });
     }
-    const std::string who = isFew ? "three watch" : "all watch";
+    const std::string who = hasFewWatchers ? "three watch" : "all watch";
     PrintFit("platform calls a second by routers, " + who, "", calls);
-    PrintFit("bytes a second that a router asks, " + who, "B", bytes);
+    PrintFit("peer bytes a second of a router, " + who, "B", bytes);
     PrintFit("longest of 10 changes by routers, " + who, "ms", slowest);
   }
 }
 
-/// What a process that does not watch asks for one change, by the size of the
-/// configuration.
+/// Measures the bytes that a process without a watch fetches from peers per
+/// change, by the size of the configuration.
 void
 MeasureChangeBytes(const std::string& aBinaries)
 {
@@ -370,47 +373,47 @@
       fleet.Apply("config/teams/" + team,
                   R"({"keyDigests":[")" + standins::KeyDigest(team) + R"("]})");
     }
-    TimeToBeInForce(fleet, many.mRouters, "first");
-    const auto asked = [&] {
+    PropagationTime(fleet, many.mRouters, "first");
+    const auto peerBytes = [&] {
       return fleet.Metric("r0", "shuntjunction_config_peer_bytes");
     };
     std::this_thread::sleep_for(Millis(2000));
-    const double before = asked();
+    const double before = peerBytes();
     for (int i = 0; i < kChanges; ++i) {
-      TimeToBeInForce(fleet, many.mRouters, "model-" + std::to_string(i));
+      PropagationTime(fleet, many.mRouters, "model-" + std::to_string(i));
     }
-    std::this_thread::sleep_for(Millis(1000)); // The gauge lags.
+    std::this_thread::sleep_for(Millis(1000)); // The metric lags.
     bytes.push_back(
-      { static_cast<double>(teams), (asked() - before) / kChanges });
+      { static_cast<double>(teams), (peerBytes() - before) / kChanges });
   }
-  PrintFit("bytes asked a change by teams, questions included", "B", bytes);
+  PrintFit("peer bytes per change by teams, queries included", "B", bytes);
 }
 
 void
-MeasureAdded(const std::string& aBinaries)
+MeasureOverhead(const std::string& aBinaries)
 {
-  OneOfEach one(aBinaries, "added", 1000);
+  MinimalSetup setup(aBinaries, "added", 1000);
   const auto measure = [&](bool aIsDirect) {
     std::vector<double> first;
-    std::vector<double> whole;
+    std::vector<double> total;
     for (int i = 0; i < 200; ++i) {
-      auto calls = one.Calls(1, 20);
+      auto calls = setup.Calls(1, 20);
       if (aIsDirect) {
-        calls[0].mRouter = one.mFleet.Process("engine").mTraffic;
+        calls[0].mRouter = setup.mFleet.Process("engine").mTraffic;
       }
       const auto outcome = standins::MakeCalls(calls).front();
       first.push_back(1000 * outcome.mFirstToken.count());
-      whole.push_back(1000 * outcome.mWholeTime.count());
+      total.push_back(1000 * outcome.mTotalTime.count());
     }
     std::sort(first.begin(), first.end());
-    std::sort(whole.begin(), whole.end());
+    std::sort(total.begin(), total.end());
     std::printf("| %s | first token p50 %.2f ms, p95 %.2f ms; whole answer of "
                 "20 tokens p50 %.2f ms, p95 %.2f ms |\n",
                 aIsDirect ? "direct to the engine" : "through both processes",
                 first[100],
                 first[190],
-                whole[100],
-                whole[190]);
+                total[100],
+                total[190]);
   };
   measure(false);
   measure(true);
@@ -420,21 +423,21 @@
 MeasureIdle(const std::string& aBinaries)
 {
   constexpr double kSeconds = 10;
-  OneOfEach one(aBinaries, "idle", 1000);
-  std::this_thread::sleep_for(Millis(4000)); // Let the status be written.
-  const double calls = PlatformCalls(one.mFleet);
-  const double router = one.mFleet.Usage("r").second;
-  const double companion = one.mFleet.Usage("e").second;
+  MinimalSetup setup(aBinaries, "idle", 1000);
+  std::this_thread::sleep_for(Millis(4000)); // Until the status is written.
+  const double calls = PlatformCalls(setup.mFleet);
+  const double router = setup.mFleet.Usage("r").second;
+  const double companion = setup.mFleet.Usage("e").second;
   std::this_thread::sleep_for(std::chrono::duration<double>(kSeconds));
   std::printf("| idle for %.0f s | router %.4f of a core, companion %.4f of a "
               "core, %.2f platform calls a second for both |\n",
               kSeconds,
-              (one.mFleet.Usage("r").second - router) / kSeconds,
-              (one.mFleet.Usage("e").second - companion) / kSeconds,
-              (PlatformCalls(one.mFleet) - calls) / kSeconds);
+              (setup.mFleet.Usage("r").second - router) / kSeconds,
+              (setup.mFleet.Usage("e").second - companion) / kSeconds,
+              (PlatformCalls(setup.mFleet) - calls) / kSeconds);
   std::printf("| peak memory, idle | router %lld KB, companion %lld KB |\n",
-              static_cast<long long>(Resident(one.mFleet, "r")),
-              static_cast<long long>(Resident(one.mFleet, "e")));
+              static_cast<long long>(PeakKilobytes(setup.mFleet, "r")),
+              static_cast<long long>(PeakKilobytes(setup.mFleet, "e")));
 }
 
 } // namespace
@@ -444,23 +447,23 @@
 main(int aCount, char** aArguments)
 {
   using namespace shuntjunction::bench;
-  using Measure = void (*)(const std::string&);
-  const std::vector<std::pair<std::string, Measure>> measures{
+  using Measurement = void (*)(const std::string&);
+  const std::vector<std::pair<std::string, Measurement>> measurements{
     { "streams", MeasureStreams },   { "tokens", MeasureTokens },
     { "requests", MeasureRequests }, { "events", MeasureEvents },
-    { "watching", MeasureWatching }, { "added", MeasureAdded },
+    { "watching", MeasureWatching }, { "added", MeasureOverhead },
     { "idle", MeasureIdle },         { "change-bytes", MeasureChangeBytes }
   };
-  CLI::App app("What real processes cost by what grows.");
+  CLI::App app("Measures how the cost of real processes scales.");
   std::string binaries;
   std::vector<std::string> only;
   app.add_option("--binaries", binaries)->required();
-  app.add_option("--only", only, "measurements to make; all by default")
+  app.add_option("--only", only, "measurements to run; default: all")
     ->delimiter(',');
   CLI11_PARSE(app, aCount, aArguments);
-  std::printf("| slope | points (size: value) | fit | largest residue |\n");
+  std::printf("| slope | points (size: value) | fit | largest residual |\n");
   std::printf("| --- | --- | --- | --- |\n");
-  for (const auto& [name, measure] : measures) {
+  for (const auto& [name, measure] : measurements) {
     if (only.empty() ||
         std::find(only.begin(), only.end(), name) != only.end()) {
       measure(binaries);
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -1,6 +1,6 @@
-// shuntpolicy: the policy before real processes. The same workload is put
-// through real routers and companions before engine stand-ins, once a policy,
-// and the measures of the brief stand side by side.
+// shuntpolicy: compares endpoint choice policies. Runs the same workload
+// through real routers and companions with engine stand-ins, once per policy,
+// and prints cache hit rate, excess prefill and time to first token of each.
 
 #include <algorithm>
 #include <array>
@@ -25,12 +25,12 @@
 namespace shuntjunction::bench {
 namespace {
 
-using standins::CallerEnd;
-using standins::CallerOutcome;
+using standins::CallEnd;
+using standins::CallOutcome;
 using standins::Fleet;
 
-/// What goes wrong during a run.
-enum class Trouble : std::uint8_t
+/// Fault that is injected during a run.
+enum class Fault : std::uint8_t
 {
   kNone,
   kEngineKilled,
@@ -40,12 +40,12 @@
   kZoneLost,
 };
 
-constexpr state::EnumNames<Trouble, 6> kTroubleNames{ { "none",
-                                                        "engine-killed",
-                                                        "hot-shift",
-                                                        "routers-restart",
-                                                        "events-lost",
-                                                        "zone-lost" } };
+constexpr state::EnumNames<Fault, 6> kFaultNames{ { "none",
+                                                    "engine-killed",
+                                                    "hot-shift",
+                                                    "routers-restart",
+                                                    "events-lost",
+                                                    "zone-lost" } };
 
 constexpr std::size_t kZones = 4;
 
@@ -57,7 +57,7 @@
   std::size_t mRouters = 3;
   std::int64_t mMicrosPerBlock = 2000;
   std::size_t mCacheBlocks = 400;
-  std::string mTrouble = "none";
+  std::string mFault = "none";
   std::vector<std::string> mPolicies{ "random",
                                       "least-load",
                                       "power-of-two",
@@ -68,28 +68,28 @@
   std::int64_t mProbeTimeoutMs = state::RouterSettings().mProbeTimeout.count();
   std::int64_t mFlightWaitMs = 400;
   double mTargetLoad = 0.5;
-  bool mWarms = false;
+  bool mIsPrewarmed = false;
   WorkloadSettings mWorkload;
 };
 
-struct Measures
+struct PolicyResult
 {
   std::string mPolicy;
   std::size_t mCalls = 0;
-  std::size_t mWhole = 0;
+  std::size_t mCompleted = 0;
   std::size_t mWrong = 0;
   double mHitRate = 0;
-  double mWaste = 0; ///< computed blocks over the unavoidable ones
-  std::vector<double> mFirst;
-  std::vector<double> mFirstInBurst;
-  std::vector<double> mFirstCold; ///< in the first seconds of the run
+  double mExcess = 0; ///< computed / distinct blocks, minus 1
+  std::vector<double> mTtft;
+  std::vector<double> mTtftInBurst;
+  std::vector<double> mTtftCold; ///< of requests sent within kColdSeconds
 };
 
-/// How long a run counts as cold.
+/// Requests of the first kColdSeconds of a run count as cold.
 constexpr double kColdSeconds = 1.0;
 
-/// Time for the companions to warm.
-constexpr state::Millis kWarmTime{ 3000 };
+/// Time given to the companions to prefill the shared texts.
+constexpr state::Millis kPrewarmTime{ 3000 };
 
 double
 Percentile(std::vector<double> aValues, double aShare)
@@ -118,10 +118,10 @@
   }
 }
 
-/// Declares that the largest teams' event starts in the next minute, and
-/// gives the companions time to warm their rules.
+/// Configures an event of each team that starts within the next minute, and
+/// waits while the companions prefill the shared texts.
 void
-Warm(Fleet& aFleet, const Options& aOptions)
+Prewarm(Fleet& aFleet, const Options& aOptions)
 {
   const auto now = std::chrono::system_clock::now() + std::chrono::seconds(30);
   const std::time_t start = std::chrono::system_clock::to_time_t(now) + 30;
@@ -139,7 +139,7 @@
                      boost::json::array{ RuleText(aOptions.mWorkload, team) } },
                    { "warmEndpoints", 3 } }));
   }
-  std::this_thread::sleep_for(kWarmTime);
+  std::this_thread::sleep_for(kPrewarmTime);
 }
 
 void
@@ -152,7 +152,7 @@
                  R"({"keyDigests":[")" + standins::KeyDigest(team) + R"("]})");
   }
   aFleet.Apply("config/models/m", R"({"weights":1})");
-  const bool losesEvents = aOptions.mTrouble == "events-lost";
+  const bool dropsEvents = aOptions.mFault == "events-lost";
   for (std::size_t i = 0; i < aOptions.mEndpoints; ++i) {
     const std::string number = std::to_string(i);
     aFleet.Apply("config/endpoints/e" + number, R"({"model":"m"})");
@@ -164,7 +164,7 @@
                          "--event-delay-ms",
                          "50",
                          "--event-loss",
-                         losesEvents ? "0.02" : "0",
+                         dropsEvents ? "0.02" : "0",
                          "--seed",
                          number });
     aFleet.StartCompanion(
@@ -175,62 +175,62 @@
   for (std::size_t i = 0; i < aOptions.mRouters; ++i) {
     aFleet.AwaitReady(RouterName(0, i));
   }
-  if (aOptions.mWarms) {
-    Warm(aFleet, aOptions);
+  if (aOptions.mIsPrewarmed) {
+    Prewarm(aFleet, aOptions);
   }
 }
 
-/// What the trouble does just before the second burst.
+/// Injects the fault; called just before the second burst.
 void
-Strike(Fleet& aFleet, const Options& aOptions, std::size_t& aGeneration)
+InjectFault(Fleet& aFleet, const Options& aOptions, std::size_t& aGeneration)
 {
   const auto kill = [&](std::size_t aEndpoint) {
     aFleet.Signal("engine" + std::to_string(aEndpoint), SIGKILL);
     aFleet.Signal("e" + std::to_string(aEndpoint), SIGKILL);
   };
-  if (aOptions.mTrouble == "engine-killed") {
+  if (aOptions.mFault == "engine-killed") {
     kill(0);
-  } else if (aOptions.mTrouble == "zone-lost") {
+  } else if (aOptions.mFault == "zone-lost") {
     for (std::size_t i = 0; i < aOptions.mEndpoints; i += kZones) {
       kill(i);
     }
-  } else if (aOptions.mTrouble == "routers-restart") {
-    // The balancer turns to the new ones as the old ones stop.
+  } else if (aOptions.mFault == "routers-restart") {
+    // The load balancer switches to the new routers as the old ones stop.
     StartRouters(aFleet, aOptions, aGeneration + 1);
     for (std::size_t i = 0; i < aOptions.mRouters; ++i) {
       aFleet.Signal(RouterName(aGeneration, i), SIGTERM);
-      aFleet.Unlist(RouterName(aGeneration, i));
+      aFleet.Deregister(RouterName(aGeneration, i));
     }
     ++aGeneration;
   }
 }
 
-/// Makes one call at its time; a router that does not answer is passed over
-/// as by a balancer.
+/// Sends one call at its time. Like a load balancer, tries the next router if
+/// one cannot be reached.
 transport::Task<void>
-CallAt(const Fleet* aFleet,
-       const Options* aOptions,
-       const TimedCall* aTimed,
-       std::size_t aNumber,
-       state::TimePoint aBegin,
-       const std::size_t* aGeneration,
-       CallerOutcome* aOutcome)
+RunTimedCall(const Fleet* aFleet,
+             const Options* aOptions,
+             const TimedCall* aTimedCall,
+             std::size_t aNumber,
+             state::TimePoint aBegin,
+             const std::size_t* aGeneration,
+             CallOutcome* aOutcome)
 {
-  const std::chrono::duration<double> at(aTimed->mAt);
+  const std::chrono::duration<double> at(aTimedCall->mAt);
   const auto due =
     aBegin + std::chrono::duration_cast<state::BootClock::duration>(at);
   co_await transport::Sleep(due - state::BootClock::now());
-  standins::CallerCall call;
-  call.mKey = "team-" + std::to_string(aTimed->mTeam);
+  standins::ModelCall call;
+  call.mKey = "team-" + std::to_string(aTimedCall->mTeam);
   call.mModel = "m";
   call.mTokens = aOptions->mWorkload.mTokens;
-  call.mLevels = aTimed->mLevels;
+  call.mLevels = aTimedCall->mLevels;
   for (std::size_t i = 0; i < aOptions->mRouters; ++i) {
     const std::string router =
       RouterName(*aGeneration, (aNumber + i) % aOptions->mRouters);
     call.mRouter = aFleet->Process(router).mTraffic;
     *aOutcome = co_await standins::MakeCall(call);
-    if (aOutcome->mEnd != CallerEnd::kNoConnection) {
+    if (aOutcome->mEnd != CallEnd::kNoConnection) {
       break;
     }
   }
@@ -256,7 +256,7 @@
   return { prompt, computed };
 }
 
-Measures
+PolicyResult
 RunPolicy(const Options& aOptions, const std::string& aPolicy)
 {
   standins::FleetSettings settings;
@@ -275,68 +275,72 @@
                              std::to_string(aOptions.mFlightWaitMs) + "}";
   Fleet fleet(settings);
   StartAll(fleet, aOptions);
-  const auto timed = MakeWorkload(aOptions.mWorkload);
-  std::vector<CallerOutcome> outcomes(timed.size());
+  const auto timedCalls = MakeWorkload(aOptions.mWorkload);
+  std::vector<CallOutcome> outcomes(timedCalls.size());
   boost::asio::io_context context(1);
   std::size_t generation = 0;
   const auto begin = state::BootClock::now();
-  for (std::size_t i = 0; i < timed.size(); ++i) {
-    transport::Spawn(
-      context,
-      CallAt(
-        &fleet, &aOptions, &timed[i], i, begin, &generation, &outcomes[i]));
+  for (std::size_t i = 0; i < timedCalls.size(); ++i) {
+    transport::Spawn(context,
+                     RunTimedCall(&fleet,
+                                  &aOptions,
+                                  &timedCalls[i],
+                                  i,
+                                  begin,
+                                  &generation,
+                                  &outcomes[i]));
   }
-  const std::chrono::duration<double> strikeAt(
+  const std::chrono::duration<double> faultDelay(
     aOptions.mWorkload.mBurstEvery * 2 - 0.05);
   transport::Timer timer(
-    context, std::chrono::duration_cast<std::chrono::nanoseconds>(strikeAt));
-  timer.async_wait([&](auto) { Strike(fleet, aOptions, generation); });
+    context, std::chrono::duration_cast<std::chrono::nanoseconds>(faultDelay));
+  timer.async_wait([&](auto) { InjectFault(fleet, aOptions, generation); });
   context.run();
-  Measures measures;
-  measures.mPolicy = aPolicy;
-  measures.mCalls = timed.size();
-  for (std::size_t i = 0; i < timed.size(); ++i) {
-    if (outcomes[i].mEnd == CallerEnd::kWrong) {
-      ++measures.mWrong;
+  PolicyResult result;
+  result.mPolicy = aPolicy;
+  result.mCalls = timedCalls.size();
+  for (std::size_t i = 0; i < timedCalls.size(); ++i) {
+    if (outcomes[i].mEnd == CallEnd::kWrong) {
+      ++result.mWrong;
     }
-    if (outcomes[i].mEnd != CallerEnd::kWhole) {
+    if (outcomes[i].mEnd != CallEnd::kComplete) {
       continue;
     }
-    ++measures.mWhole;
-    const double first = outcomes[i].mFirstToken.count();
-    measures.mFirst.push_back(first);
-    if (timed[i].mAt < kColdSeconds) {
-      measures.mFirstCold.push_back(first);
+    ++result.mCompleted;
+    const double ttft = outcomes[i].mFirstToken.count();
+    result.mTtft.push_back(ttft);
+    if (timedCalls[i].mAt < kColdSeconds) {
+      result.mTtftCold.push_back(ttft);
     }
-    if (timed[i].mIsBurst) {
-      measures.mFirstInBurst.push_back(first);
+    if (timedCalls[i].mIsBurst) {
+      result.mTtftInBurst.push_back(ttft);
     }
   }
   const auto [prompt, computed] = EngineBlocks(fleet, aOptions);
-  measures.mHitRate = prompt == 0 ? 0 : 1.0 - computed / prompt;
-  measures.mWaste =
-    computed / static_cast<double>(UnavoidableBlocks(timed)) - 1.0;
-  return measures;
+  result.mHitRate = prompt == 0 ? 0 : 1.0 - computed / prompt;
+  result.mExcess =
+    computed / static_cast<double>(DistinctBlocks(timedCalls)) - 1.0;
+  return result;
 }
 
 void
-Print(const Measures& aMeasures)
+Print(const PolicyResult& aResult)
 {
   std::printf("| %-14s | %5zu | %5zu | %5zu | %5.3f | %6.2f | %5.0f | %5.0f | "
               "%5.0f | %5.0f | %5.0f | %5.0f | %5.0f |\n",
-              aMeasures.mPolicy.c_str(),
-              aMeasures.mCalls,
-              aMeasures.mWhole,
-              aMeasures.mWrong,
-              aMeasures.mHitRate,
-              aMeasures.mWaste,
-              1000 * Percentile(aMeasures.mFirst, 0.5),
-              1000 * Percentile(aMeasures.mFirst, 0.95),
-              1000 * Percentile(aMeasures.mFirst, 0.99),
-              1000 * Percentile(aMeasures.mFirstInBurst, 0.5),
-              1000 * Percentile(aMeasures.mFirstInBurst, 0.95),
-              1000 * Percentile(aMeasures.mFirstInBurst, 0.99),
-              1000 * Percentile(aMeasures.mFirstCold, 0.95));
+              aResult.mPolicy.c_str(),
+              aResult.mCalls,
+              aResult.mCompleted,
+              aResult.mWrong,
+              aResult.mHitRate,
+              aResult.mExcess,
+              1000 * Percentile(aResult.mTtft, 0.5),
+              1000 * Percentile(aResult.mTtft, 0.95),
+              1000 * Percentile(aResult.mTtft, 0.99),
+              1000 * Percentile(aResult.mTtftInBurst, 0.5),
+              1000 * Percentile(aResult.mTtftInBurst, 0.95),
+              1000 * Percentile(aResult.mTtftInBurst, 0.99),
+              1000 * Percentile(aResult.mTtftCold, 0.95));
   std::fflush(stdout);
 }
 
@@ -347,7 +351,7 @@
 main(int aCount, char** aArguments)
 {
   using namespace shuntjunction::bench;
-  CLI::App app("Policies side by side on real processes.");
+  CLI::App app("Compares endpoint choice policies on real processes.");
   Options options;
   app.add_option("--binaries", options.mBinaries)->required();
   app.add_option("--folder", options.mFolder);
@@ -367,19 +371,20 @@
   app.add_option("--seconds", options.mWorkload.mSeconds);
   app.add_option("--teams", options.mWorkload.mTeams);
   app.add_option("--records", options.mWorkload.mRecords);
-  app.add_flag("--warm", options.mWarms, "warm the rules before the run");
+  app.add_flag(
+    "--warm", options.mIsPrewarmed, "prefill the shared texts before the run");
   app.add_option(
-    "--trouble", options.mTrouble, "one of " + kTroubleNames.Allowed());
+    "--trouble", options.mFault, "one of " + kFaultNames.Allowed());
   CLI11_PARSE(app, aCount, aArguments);
-  if (!kTroubleNames.Parse(options.mTrouble)) {
-    std::cerr << "--trouble is one of " << kTroubleNames.Allowed() << "\n";
+  if (!kFaultNames.Parse(options.mFault)) {
+    std::cerr << "--trouble must be one of " << kFaultNames.Allowed() << "\n";
     return 2;
   }
-  if (options.mTrouble == "hot-shift") {
+  if (options.mFault == "hot-shift") {
     options.mWorkload.mShiftAt = options.mWorkload.mBurstEvery * 2;
   }
   std::printf("trouble: %s, seed %llu\n\n",
-              options.mTrouble.c_str(),
+              options.mFault.c_str(),
               static_cast<unsigned long long>(options.mWorkload.mSeed));
   std::printf("| policy         | calls | whole | wrong | hits  | waste  | p50 "
               "  | p95   | p99   | b p50 | b p95 | b p99 | cold |\n");
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,5 +1,6 @@
-// One benchmark a slope: how the cost of each deciding part grows with what
-// grows at the target. Memory is counted by the allocator's own books.
+// Microbenchmarks of the decision code: how time and memory of each component
+// scale with fleet, cache and configuration size. Memory is measured with
+// mallinfo2().
 
 #include <malloc.h>
 
@@ -30,16 +31,16 @@
   return mallinfo2().uordblks;
 }
 
-/// Notes what one item of a thing costs in memory.
+/// Reports the heap bytes per item since aBefore.
 void
-NoteBytes(State& aState, std::size_t aBefore, std::int64_t aItems)
+ReportBytesPerItem(State& aState, std::size_t aBefore, std::int64_t aItems)
 {
   aState.counters["bytes_each"] = Counter(
     static_cast<double>(HeapBytes() - aBefore) / static_cast<double>(aItems));
   aState.SetComplexityN(aItems);
 }
 
-// The companion's index: one event in and one out, at a number of blocks.
+// Block index of a companion: one insertion and one eviction, by blocks.
 void
 CacheEvent(State& aState)
 {
@@ -51,7 +52,7 @@
   for (std::uint64_t i = 0; i < blocks; ++i) {
     index.Apply({ 1, ++sequence, state::CacheEventKind::kStored, i * 7919 });
   }
-  NoteBytes(aState, before, aState.range(0));
+  ReportBytesPerItem(aState, before, aState.range(0));
   std::uint64_t next = blocks;
   for (auto _ : aState) {
     index.Apply({ 1, ++sequence, state::CacheEventKind::kStored, next * 7919 });
@@ -70,7 +71,7 @@
   ->Arg(65000)
   ->Arg(130000);
 
-// The router's choice before it asks, by endpoints of the model.
+// Choice of the endpoints that a router probes, by endpoints of the model.
 void
 Decision(State& aState)
 {
@@ -88,7 +89,7 @@
   const std::size_t before = HeapBytes();
   state::EndpointTable table{ state::EndpointTableSettings{} };
   table.Update(config, instances);
-  NoteBytes(aState, before, aState.range(0));
+  ReportBytesPerItem(aState, before, aState.range(0));
   const std::size_t routers = 400;
   state::RandomSource random(1);
   const auto chooser =
@@ -106,7 +107,7 @@
 BENCHMARK(Decision)->Arg(10)->Arg(50)->Arg(150)->Arg(300)->Arg(600)->Complexity(
   benchmark::oN);
 
-// One change of configuration, by teams.
+// Applying one configuration change, by number of teams.
 void
 ConfigChange(State& aState)
 {
@@ -126,7 +127,7 @@
   const std::size_t before = HeapBytes();
   state::ConfigStore store;
   store.ApplyList(teams + 1, objects);
-  NoteBytes(aState, before, aState.range(0));
+  ReportBytesPerItem(aState, before, aState.range(0));
   aState.counters["peer_text_bytes"] =
     Counter(static_cast<double>(store.Serialize().size()));
   std::uint64_t revision = teams + 1;
@@ -148,7 +149,8 @@
   ->Arg(1300)
   ->Complexity(benchmark::oN);
 
-// A token on its way through a router: frame in, event out.
+// A token through a router: encode and decode the frame, write the event;
+// by bytes of text.
 void
 TokenFrame(State& aState)
 {
@@ -173,7 +175,7 @@
   ->Arg(256)
   ->Complexity(benchmark::oN);
 
-// The chain of a prompt, by its bytes.
+// Prefix chain of a prompt, by its bytes.
 void
 PrefixChain(State& aState)
 {
@@ -193,7 +195,7 @@
   ->Arg(131072)
   ->Complexity(benchmark::oN);
 
-// Admission of one request, by those that wait.
+// Admission of one request, by queue length.
 void
 Admission(State& aState)
 {
@@ -215,7 +217,7 @@
   for (std::size_t i = 0; i < depth; ++i) {
     enqueue();
   }
-  NoteBytes(aState, before, aState.range(0));
+  ReportBytesPerItem(aState, before, aState.range(0));
   for (auto _ : aState) {
     enqueue();
     const auto now = clock.Now();
@@ -229,7 +231,7 @@
 BENCHMARK(Admission)->Arg(4)->Arg(16)->Arg(64)->Arg(256)->Complexity(
   benchmark::oN);
 
-// Histograms, by teams.
+// Updating a histogram, by number of teams.
 void
 Observation(State& aState)
 {
@@ -238,14 +240,14 @@
   std::vector<std::string> teams;
   for (std::int64_t i = 0; i < aState.range(0); ++i) {
     teams.push_back("team-" + std::to_string(i));
-    for (std::size_t measure = 0; measure < 5; ++measure) {
-      metrics.Observe(static_cast<coordination::RequestMetric>(measure),
+    for (std::size_t metric = 0; metric < 5; ++metric) {
+      metrics.Observe(static_cast<coordination::RequestMetric>(metric),
                       teams.back(),
                       state::Priority::kUrgent,
                       0.1);
     }
   }
-  NoteBytes(aState, before, aState.range(0));
+  ReportBytesPerItem(aState, before, aState.range(0));
   std::size_t next = 0;
   for (auto _ : aState) {
     metrics.Observe(coordination::RequestMetric::kFirstToken,
@@ -256,7 +258,8 @@
 }
 BENCHMARK(Observation)->Arg(160)->Arg(325)->Arg(650)->Arg(1300);
 
-// Bytes of control a request: three probes and their replies.
+// Encoded size of a probe and its reply, by prefix levels. A router sends
+// three probes for a request.
 void
 ProbeBytes(State& aState)
 {
@@ -267,11 +270,11 @@
   const protocol::ProbeReply reply{ 1U << 30, true, 36, 9000, 4000 };
   std::size_t bytes = 0;
   for (auto _ : aState) {
-    const auto asked = protocol::Encode(probe);
-    const auto answered = protocol::Encode(reply);
-    bytes = asked.size() + answered.size();
-    benchmark::DoNotOptimize(protocol::Decode(asked, "p"));
-    benchmark::DoNotOptimize(protocol::Decode(answered, "p"));
+    const auto probeFrame = protocol::Encode(probe);
+    const auto replyFrame = protocol::Encode(reply);
+    bytes = probeFrame.size() + replyFrame.size();
+    benchmark::DoNotOptimize(protocol::Decode(probeFrame, "p"));
+    benchmark::DoNotOptimize(protocol::Decode(replyFrame, "p"));
   }
   aState.counters["bytes_asked_and_answered"] =
     Counter(static_cast<double>(bytes));
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A text of some length that begins alike for equal names.
+/// Filler text of aBytes; equal names give a common prefix.
 std::string
 Text(const std::string& aName, std::size_t aBytes)
 {
@@ -23,7 +23,7 @@
   return text;
 }
 
-/// A rank drawn with chances that fall as 1 / (rank + 1).
+/// Draws a rank from a Zipf distribution: probability ~ 1 / (rank + 1).
 std::size_t
 DrawRank(std::mt19937_64& aRandom, std::size_t aCount)
 {
@@ -77,7 +77,7 @@
 }
 
 std::uint64_t
-UnavoidableBlocks(const std::vector<TimedCall>& aCalls)
+DistinctBlocks(const std::vector<TimedCall>& aCalls)
 {
   std::unordered_set<state::PrefixHash> distinct;
   for (const auto& call : aCalls) {
--- a/examples/01_prefix.cpp
+++ b/examples/01_prefix.cpp
@@ -1,5 +1,5 @@
-// Example 1: how a prompt becomes a chain of blocks, and how two teams with
-// the same prompt share nothing.
+// Example 1: splits a prompt into a chain of block hashes. Two teams with the
+// same prompt share no blocks.
 
 #include <cstdio>
 
@@ -21,7 +21,8 @@
   std::printf("shared by the two clinics: %s\n",
               north.mBlocks.front() == south.mBlocks.front() ? "yes" : "none");
 
-  // A companion's index: what its engine has cached in this life.
+  // A companion's index of the blocks cached by the current incarnation of its
+  // engine.
   BlockIndex index;
   index.Restart(1);
   std::uint64_t sequence = 0;
@@ -31,7 +32,7 @@
   std::printf("cached for the north: %u, for the south: %u\n",
               index.CachedBlocks(std::span(north.mBlocks)),
               index.CachedBlocks(std::span(south.mBlocks)));
-  index.Restart(2); // The engine crashed and came back empty.
+  index.Restart(2); // The engine restarted with an empty cache.
   const std::uint32_t left = index.CachedBlocks(std::span(north.mBlocks));
   std::printf("after a crash: %u\n", left);
   return left == 0 ? 0 : 1;
--- a/examples/02_choice.cpp
+++ b/examples/02_choice.cpp
@@ -1,5 +1,5 @@
-// Example 2: which endpoints a router asks for a prompt, and how a hot prefix
-// spreads over more of them.
+// Example 2: chooses the endpoints that a router probes for a prompt. A hot
+// prefix is spread over more endpoints.
 
 #include <cstdio>
 #include <set>
@@ -31,7 +31,7 @@
   const ChoiceQuery query{ "channel", "captions", levels, 40 };
 
   ManualClock clock;
-  const auto asked = [&] {
+  const auto countProbed = [&] {
     std::set<std::uint32_t> seen;
     for (int i = 0; i < 100; ++i) {
       for (const auto handle : chooser->Candidates(
@@ -41,12 +41,12 @@
     }
     return seen.size();
   };
-  std::printf("a cold prefix is asked for at %zu endpoints\n", asked());
-  for (int i = 0; i < 200; ++i) { // three seconds of engine time a second
+  std::printf("endpoints probed for a cold prefix: %zu\n", countProbed());
+  for (int i = 0; i < 200; ++i) { // 3 s of engine time per second
     chooser->NoteSent(query, 0.15, clock.Now());
     clock.Advance(Millis(50));
   }
-  const std::size_t hot = asked();
-  std::printf("a hot one at %zu\n", hot);
+  const std::size_t hot = countProbed();
+  std::printf("endpoints probed for a hot prefix: %zu\n", hot);
   return hot > 3 ? 0 : 1;
 }
--- a/examples/03_admission.cpp
+++ b/examples/03_admission.cpp
@@ -1,5 +1,6 @@
-// Example 3: a companion's queue: urgent work first, a large team does not
-// hold up a small one, and what cannot be in time is refused at once.
+// Example 3: admission queue of a companion. Urgent requests run first, teams
+// share the slots fairly, and requests that cannot meet their deadline are
+// refused immediately.
 
 #include <cstdio>
 
@@ -24,7 +25,7 @@
       ticket.mDeadline = clock.Now() + aDeadline;
       for (const auto& refusal : queue.Enqueue(ticket, clock.Now())) {
         std::printf(
-          "%llu refused: %s, come back in %lld ms\n",
+          "%llu refused: %s, retry after %lld ms\n",
           static_cast<unsigned long long>(refusal.mId),
           std::string(kRefusalReasonNames.Name(refusal.mReason)).c_str(),
           static_cast<long long>(refusal.mRetryAfter.count()));
--- a/examples/04_claim.cpp
+++ b/examples/04_claim.cpp
@@ -1,5 +1,5 @@
-// Example 4: a claim whose answer was lost: it is settled by reading back, and
-// the request is handed over once.
+// Example 4: the response to creating a claim is lost. Reading the claim back
+// resolves it, so that the request is executed once.
 
 #include <cstdio>
 
@@ -11,16 +11,16 @@
 main()
 {
   ClaimMachine machine("my nonce", "digest of the booking");
-  const auto say = [&](const char* aWhat) {
+  const auto print = [&](const char* aEvent) {
     std::printf("%-32s -> %s\n",
-                aWhat,
+                aEvent,
                 std::string(kClaimStepNames.Name(machine.Step())).c_str());
   };
-  say("at first");
+  print("initial state");
   machine.OnCreateResult(
     Fail(ErrorCode::kTimeout, "platform.write", "platform", "no answer"));
-  say("the answer to the create is lost");
+  print("create response lost");
   machine.OnReadResult(std::optional(machine.NewRecord(0)));
-  say("its own nonce stands there");
+  print("own nonce read back");
   return machine.Step() == ClaimStep::kExecute ? 0 : 1;
 }
--- a/scripts/days/make_days.py
+++ b/scripts/days/make_days.py
@@ -1,18 +1,19 @@
 #!/usr/bin/env python3
-"""Writes days of trouble for the users' bench: every kind, two or three at once.
+"""Writes fault scenarios ("days") for the users' test bench, with two or three
+kinds of fault at once; each kind leads in turn.
 
 usage: make_days.py FOLDER COUNT [SEED]
 
-A day draws its kinds from the list below, each at a moment of its own: some at
-the start, some over the end, some around a new version of the weights, a
-removed key, a stop or a full loss of power.
+A day draws its kinds of fault from KINDS, each at a random time: at the start,
+past the end, or around a new version of the weights, a revoked key, a stop or a
+complete power failure.
 """
 
 import pathlib
 import random
 import sys
 
-# (list of the day, kind, settings); one of the settings is drawn.
+# (list of the day file, kind, alternative settings)
 KINDS = [
     ("faults", "burst", ["x = 1.7, for_s = 4.0"]),
     ("faults", "hot_key", ["share = 0.35, for_s = 6.0"]),
@@ -124,7 +125,7 @@
 
 
 def write_days(write_day):
-    """Writes as many days as the command line asks for."""
+    """Writes the number of days given on the command line."""
     folder = pathlib.Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     rng = random.Random(int(sys.argv[3]) if len(sys.argv) > 3 else 1)
--- a/scripts/days/make_deadly_days.py
+++ b/scripts/days/make_deadly_days.py
@@ -1,17 +1,17 @@
 #!/usr/bin/env python3
-"""Writes days for the users' bench in which requests crash the endpoints that
-run them, at varied moments and shares, beside other troubles.
+"""Writes fault scenarios ("days") for the users' test bench in which requests
+crash the endpoints that run them, at random times and shares, among other faults.
 
 usage: make_deadly_days.py FOLDER COUNT SEED CLASS...
 
-CLASS names kinds of requests of the deployment that is played.
+CLASS names kinds of requests of the simulated deployment.
 """
 
 import sys
 
 from make_days import entry, write_days, write_file
 
-BESIDE = [
+OTHER_FAULTS = [
     ("faults", "srv_crash", "share = 0.3, for_s = 3.0"),
     ("faults", "node_kill", "share = 0.5"),
     ("faults", "herd_kill", "share = 0.6"),
@@ -32,7 +32,7 @@
             rng.choice(sys.argv[4:]), rng.choice((0.01, 0.03, 0.1, 0.3)),
             rng.choice((4.0, 10.0, 20.0)))
         lists["faults"].append(entry("poison", settings, rng.uniform(0.2, 20.0)))
-    for where, kind, settings in rng.sample(BESIDE, rng.choice((0, 1, 2))):
+    for where, kind, settings in rng.sample(OTHER_FAULTS, rng.choice((0, 1, 2))):
         lists[where].append(entry(kind, settings, rng.uniform(2.0, 24.0)))
     write_file(folder, "deadly-%d" % number, rng, lists)
 
--- a/scripts/days/make_leaving_days.py
+++ b/scripts/days/make_leaving_days.py
@@ -1,22 +1,23 @@
 #!/usr/bin/env python3
-"""Writes days for the users' bench in which endpoints leave after a short trouble.
+"""Writes fault scenarios ("days") for the users' test bench in which endpoints are
+drained after short faults.
 
 usage: make_leaving_days.py FOLDER COUNT [SEED]
 
-Bounds in time hold only for machines that had no trouble for some seconds. A day
-therefore repeats: a short trouble of one to three kinds, a calm that is just
-longer than that, and a wave of leaving endpoints of every service.
+Time limits apply only to machines without a fault for some seconds. A day
+therefore repeats: short faults of one to three kinds, a quiet period that is just
+longer than that, and draining of endpoints of every service.
 """
 
 from make_days import entry, write_days, write_file
 
-CALM_S = 3.3      # the platform counts a machine as sound after 3
+QUIET_S = 3.3     # the platform counts a machine as healthy after 3 s
 DAY_S = 26.0
 FIRST_S = 0.8
 WAVE_S = (3.0, 4.2)
 
-# Kind: (length, settings) of which one is drawn.
-SHORT_TROUBLES = {
+# Kind: alternative (length, settings)
+SHORT_FAULTS = {
     "reset_conns": [(0, 'how = "silent", share = 1.0, x = 0.6'),
                     (0, 'how = "silent", share = 1.0, x = 0.95')],
     "platform_down": [(length, 'how = "%s", for_s = %.1f' % (how, length))
@@ -48,17 +49,17 @@
 
 
 def write_day(folder, number, rng):
-    kinds = rng.sample(sorted(SHORT_TROUBLES), rng.choice((1, 2, 3)))
+    kinds = rng.sample(sorted(SHORT_FAULTS), rng.choice((1, 2, 3)))
     lists = {"plan": [], "faults": []}
     begin = FIRST_S
     while begin < DAY_S:
         end = begin
         for kind in kinds:
-            length, settings = rng.choice(SHORT_TROUBLES[kind])
+            length, settings = rng.choice(SHORT_FAULTS[kind])
             at = begin + rng.uniform(0.0, 0.4)
             lists["faults"].append(entry(kind, settings, at))
             end = max(end, at + length)
-        leave = end + CALM_S + rng.uniform(-0.3, 0.3)
+        leave = end + QUIET_S + rng.uniform(-0.3, 0.3)
         lists["plan"] += [entry(kind, settings, leave + after)
                           for kind, after, settings in LEAVING]
         begin = leave + rng.uniform(*WAVE_S)
--- a/standins/answer_text.h
+++ b/standins/answer_text.h
@@ -4,21 +4,21 @@
 #include <string>
 #include <string_view>
 
-/// The text that the engine stand-in generates, so that callers can check it.
+/// Deterministic output of the engine stand-in, which callers can verify.
 namespace shuntjunction::standins {
 
-/// Hash of a prompt that all its answers depend on.
+/// Hash of the prompt in a request body; seeds its answer. 0 for invalid JSON.
 std::uint64_t
 PromptHash(std::string_view aBody);
 
-/// Token number aIndex of the answer to a prompt.
+/// Token at position aIndex of the answer to a prompt.
 std::string
 AnswerToken(std::string_view aModel,
             std::uint32_t aWeights,
             std::uint64_t aPrompt,
             std::uint32_t aIndex);
 
-/// The first aCount tokens of an answer.
+/// The first aCount tokens of the answer, concatenated.
 std::string
 AnswerText(std::string_view aModel,
            std::uint32_t aWeights,
--- a/standins/caller.cpp
+++ b/standins/caller.cpp
@@ -19,39 +19,40 @@
 
 using SteadyClock = state::BootClock;
 
-constexpr std::size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
-constexpr std::string_view kData = "data: ";
+constexpr std::size_t kMaxResponseBytes = 64UL * 1024 * 1024;
+constexpr std::string_view kDataPrefix = "data: ";
 constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kDone = "[DONE]";
 
-/// Reads a streamed answer event by event.
+/// Parses a server-sent event stream incrementally.
 class StreamReader
 {
 public:
-  explicit StreamReader(CallerOutcome& aOutcome, SteadyClock::time_point aBegun)
+  explicit StreamReader(CallOutcome& aOutcome,
+                        SteadyClock::time_point aStartedAt)
     : mOutcome(aOutcome)
-    , mBegun(aBegun)
-    , mLast(aBegun)
+    , mStartedAt(aStartedAt)
+    , mLastTokenAt(aStartedAt)
   {
   }
 
-  void Take(const std::string& aPiece)
+  void Append(const std::string& aChunk)
   {
-    mText += aPiece;
+    mText += aChunk;
     for (std::size_t end = mText.find(kEventEnd); end != std::string::npos;
          end = mText.find(kEventEnd)) {
       const std::string event = mText.substr(0, end);
       mText.erase(0, end + kEventEnd.size());
-      if (event.starts_with(kData)) {
-        TakeData(event.substr(kData.size()));
+      if (event.starts_with(kDataPrefix)) {
+        HandleData(event.substr(kDataPrefix.size()));
       }
     }
   }
 
-  bool IsDone() const { return mIsDone && mHasReason; }
+  bool IsDone() const { return mIsDone && mHasFinishReason; }
 
 private:
-  void TakeData(const std::string& aData)
+  void HandleData(const std::string& aData)
   {
     if (aData == kDone) {
       mIsDone = true;
@@ -68,32 +69,33 @@
       return;
     }
     const auto& choice = choices.front().as_object();
-    mHasReason = mHasReason || choice.at("finish_reason").is_string();
+    mHasFinishReason =
+      mHasFinishReason || choice.at("finish_reason").is_string();
     const auto* content = choice.at("delta").as_object().if_contains("content");
     if (content == nullptr || content->as_string().empty()) {
       return;
     }
     const auto now = SteadyClock::now();
     if (mOutcome.mText.empty()) {
-      mOutcome.mFirstToken = now - mBegun;
+      mOutcome.mFirstToken = now - mStartedAt;
     } else {
       mOutcome.mLongestGap = std::max<std::chrono::duration<double>>(
-        mOutcome.mLongestGap, now - mLast);
+        mOutcome.mLongestGap, now - mLastTokenAt);
     }
-    mLast = now;
+    mLastTokenAt = now;
     mOutcome.mText += std::string(content->as_string());
   }
 
-  CallerOutcome& mOutcome;
-  SteadyClock::time_point mBegun;
-  SteadyClock::time_point mLast;
+  CallOutcome& mOutcome;
+  SteadyClock::time_point mStartedAt;
+  SteadyClock::time_point mLastTokenAt;
   std::string mText;
   bool mIsDone = false;
-  bool mHasReason = false;
+  bool mHasFinishReason = false;
 };
 
 std::string
-TextOfWhole(const std::string& aBody)
+AnswerOfResponse(const std::string& aBody)
 {
   const auto value = state::ParseJson(aBody, "answer");
   if (!value || !value->is_object()) {
@@ -108,7 +110,7 @@
 } // namespace
 
 std::string
-ChatBody(const CallerCall& aCall)
+ChatBody(const ModelCall& aCall)
 {
   json::array messages;
   for (std::size_t i = 0; i < aCall.mLevels.size(); ++i) {
@@ -122,12 +124,12 @@
                                        { "messages", std::move(messages) } });
 }
 
-Task<CallerOutcome>
-MakeCall(CallerCall aCall)
+Task<CallOutcome>
+MakeCall(ModelCall aCall)
 {
-  CallerOutcome outcome;
+  CallOutcome outcome;
   const auto address = state::ParseAddress(aCall.mRouter);
-  transport::HttpClient client(*address, kMaxAnswerBytes);
+  transport::HttpClient client(*address, kMaxResponseBytes);
   HttpRequest request;
   request.mMethod = "POST";
   request.mTarget = "/v1/chat/completions";
@@ -137,7 +139,7 @@
   request.mBody = ChatBody(aCall);
   const std::string expected = AnswerText(
     aCall.mModel, aCall.mWeights, PromptHash(request.mBody), aCall.mTokens);
-  const auto begun = SteadyClock::now();
+  const auto startedAt = SteadyClock::now();
   const auto stream = co_await client.Open(
     std::move(request), aCall.mTimeout, aCall.mTimeout, nullptr);
   if (!stream) {
@@ -147,61 +149,61 @@
   outcome.mStatus = (*stream)->Status();
   outcome.mRunState = (*stream)->Field("x-run-state");
   outcome.mHasRetryAfter = !(*stream)->Field("retry-after").empty();
-  StreamReader reader(outcome, begun);
-  std::string whole;
-  bool isCut = false;
+  StreamReader reader(outcome, startedAt);
+  std::string body;
+  bool isAborted = false;
   while (true) {
-    const auto piece = co_await (*stream)->Read(aCall.mTimeout);
-    if (!piece || piece->empty()) {
-      isCut = !piece;
+    const auto chunk = co_await (*stream)->Read(aCall.mTimeout);
+    if (!chunk || chunk->empty()) {
+      isAborted = !chunk;
       break;
     }
     if (outcome.mStatus == 200 && aCall.mIsStream) {
-      reader.Take(*piece);
+      reader.Append(*chunk);
     } else {
-      whole += *piece;
+      body += *chunk;
     }
     if (aCall.mReadPause > Millis(0)) {
       co_await transport::Sleep(aCall.mReadPause);
     }
   }
-  outcome.mWholeTime = SteadyClock::now() - begun;
+  outcome.mTotalTime = SteadyClock::now() - startedAt;
   if (outcome.mStatus != 200) {
-    outcome.mEnd = isCut ? CallerEnd::kNoConnection : CallerEnd::kRefused;
-    outcome.mBody = whole;
+    outcome.mEnd = isAborted ? CallEnd::kNoConnection : CallEnd::kRefused;
+    outcome.mBody = body;
     co_return outcome;
   }
-  bool looksWhole = !isCut;
+  bool looksComplete = !isAborted;
   if (aCall.mIsStream) {
-    looksWhole = looksWhole && reader.IsDone();
-  } else if (looksWhole) {
-    outcome.mText = TextOfWhole(whole);
-    outcome.mFirstToken = outcome.mWholeTime;
+    looksComplete = looksComplete && reader.IsDone();
+  } else if (looksComplete) {
+    outcome.mText = AnswerOfResponse(body);
+    outcome.mFirstToken = outcome.mTotalTime;
   }
-  if (!looksWhole) {
-    outcome.mEnd = CallerEnd::kBroken;
+  if (!looksComplete) {
+    outcome.mEnd = CallEnd::kIncomplete;
   } else {
     outcome.mEnd =
-      outcome.mText == expected ? CallerEnd::kWhole : CallerEnd::kWrong;
+      outcome.mText == expected ? CallEnd::kComplete : CallEnd::kWrong;
   }
   co_return outcome;
 }
 
-std::vector<CallerOutcome>
-MakeCalls(const std::vector<CallerCall>& aCalls,
-          Millis aWhen,
-          const std::function<void()>& aMeanwhile)
+std::vector<CallOutcome>
+MakeCalls(const std::vector<ModelCall>& aCalls,
+          Millis aDelay,
+          const std::function<void()>& aAction)
 {
   boost::asio::io_context context(1);
-  std::vector<CallerOutcome> outcomes(aCalls.size());
-  const auto run = [](CallerCall aCall, CallerOutcome* aOutcome) -> Task<void> {
+  std::vector<CallOutcome> outcomes(aCalls.size());
+  const auto run = [](ModelCall aCall, CallOutcome* aOutcome) -> Task<void> {
     *aOutcome = co_await MakeCall(std::move(aCall));
   };
   for (std::size_t i = 0; i < aCalls.size(); ++i) {
     transport::Spawn(context, run(aCalls[i], &outcomes[i]));
   }
-  transport::Timer timer(context, aWhen);
-  timer.async_wait([&](auto) { aMeanwhile(); });
+  transport::Timer timer(context, aDelay);
+  timer.async_wait([&](auto) { aAction(); });
   context.run();
   return outcomes;
 }
--- a/standins/caller.h
+++ b/standins/caller.h
@@ -10,68 +10,68 @@
 #include "shuntjunction/transport/http_client.h"
 #include "shuntjunction/transport/task.h"
 
-/// Callers that check every answer they get.
+/// Client of the router's chat API that verifies each answer.
 namespace shuntjunction::standins {
 
-/// A call of a model.
-struct CallerCall
+/// Parameters of one chat completion request.
+struct ModelCall
 {
-  std::string mRouter; ///< address
-  std::string mKey;    ///< bearer key
+  std::string mRouter; ///< address of the router
+  std::string mKey;    ///< bearer token
   std::string mModel;
   std::vector<std::string> mLevels; ///< prompt levels, outermost first
   std::uint32_t mTokens = 16;
   std::uint32_t mWeights = 1; ///< version whose answer is expected
   bool mIsStream = true;
-  std::vector<transport::HttpField> mFields; ///< further header fields
+  std::vector<transport::HttpField> mFields; ///< additional header fields
   state::Millis mTimeout{ 60000 };
-  state::Millis mReadPause{ 0 }; ///< between reads, for a slow caller
+  state::Millis mReadPause{ 0 }; ///< delay between reads, for a slow caller
 };
 
 /// How a call ended.
-enum class CallerEnd : std::uint8_t
+enum class CallEnd : std::uint8_t
 {
-  kWhole,        ///< the whole answer, and the right one
-  kWrong,        ///< an answer that looked complete but was not the right one
-  kRefused,      ///< an HTTP error
-  kBroken,       ///< a stream that was begun and did not look complete
-  kNoConnection, ///< no connection, or it was cut before an answer
+  kComplete,     ///< complete answer with the expected text
+  kWrong,        ///< complete answer with a different text
+  kRefused,      ///< HTTP error status
+  kIncomplete,   ///< status 200, but the answer ended early
+  kNoConnection, ///< connection failed or closed before an answer
 };
 
-/// Names of CallerEnd.
-inline constexpr state::EnumNames<CallerEnd, 5> kCallerEndNames{
+/// Names of CallEnd, as they are printed.
+inline constexpr state::EnumNames<CallEnd, 5> kCallEndNames{
   { "whole", "wrong", "refused", "broken", "no-connection" }
 };
 
-/// What a caller saw.
-struct CallerOutcome
+/// Result of a call as the caller observed it.
+struct CallOutcome
 {
-  CallerEnd mEnd = CallerEnd::kNoConnection;
+  CallEnd mEnd = CallEnd::kNoConnection;
   unsigned mStatus = 0;
-  std::string mRunState; ///< as the answer's header said
-  std::string mBody;     ///< of an error
-  std::string mText;     ///< of the answer
+  std::string mRunState; ///< value of the x-run-state header
+  std::string mBody;     ///< body of an error response
+  std::string mText;     ///< text of the answer
   std::chrono::duration<double> mFirstToken{ 0 };
-  std::chrono::duration<double> mWholeTime{ 0 };
+  std::chrono::duration<double> mTotalTime{ 0 };
   std::chrono::duration<double> mLongestGap{ 0 }; ///< between two tokens
   bool mHasRetryAfter = false;
 };
 
-/// Makes a call and checks its answer.
-transport::Task<CallerOutcome>
-MakeCall(CallerCall aCall);
+/// Sends a request and compares the answer with the expected text.
+transport::Task<CallOutcome>
+MakeCall(ModelCall aCall);
 
-/// Makes calls at once, and does something while they run.
+/// Runs calls concurrently and invokes aAction once, aDelay after the start.
 ///
-/// Blocks until all have ended; outcomes stand in the order of the calls.
-std::vector<CallerOutcome>
+/// Blocks until all calls have ended; outcomes are in the order of the calls.
+std::vector<CallOutcome>
 MakeCalls(
-  const std::vector<CallerCall>& aCalls,
-  state::Millis aWhen = state::Millis(0),
-  const std::function<void()>& aMeanwhile = [] {});
+  const std::vector<ModelCall>& aCalls,
+  state::Millis aDelay = state::Millis(0),
+  const std::function<void()>& aAction = [] {});
 
-/// Body of a chat call.
+/// JSON request body of a chat call.
 std::string
-ChatBody(const CallerCall& aCall);
+ChatBody(const ModelCall& aCall);
 
 } // namespace shuntjunction::standins
--- a/standins/chance.h
+++ b/standins/chance.h
@@ -2,12 +2,12 @@
 
 #include <random>
 
-/// Draws of the stand-ins.
+/// Random draws for fault injection.
 namespace shuntjunction::standins {
 
-/// Whether something happens that happens in a share of all cases.
+/// True with probability aShare.
 ///
-/// Thread safety: none; draws from aRandom.
+/// Thread safety: none; advances aRandom.
 inline bool
 Chance(std::mt19937_64& aRandom, double aShare)
 {
--- a/standins/child_process.cpp
+++ b/standins/child_process.cpp
@@ -18,10 +18,10 @@
 
 constexpr mode_t kLogMode = 0644;
 
-/// Processes that were started and not yet waited for.
-std::set<int> sStarted;
+/// Ids of started processes that were not yet reaped.
+std::set<int> sRunning;
 
-/// Reads one line of a pipe.
+/// Reads one line from a pipe.
 std::string
 ReadLine(int aDescriptor)
 {
@@ -33,21 +33,21 @@
   return line;
 }
 
-/// What a child opens and closes before its program begins.
+/// File actions that the child performs before exec.
 class SpawnActions
 {
 public:
-  /// @param aOutput  its standard output where the command names no file
+  /// @param aOutput  standard output if the command names no file
   SpawnActions(const ChildCommand& aCommand, int aOutput)
   {
     posix_spawn_file_actions_init(&mActions);
-    if (aCommand.mOutputFile.empty()) {
+    if (aCommand.mStdoutFile.empty()) {
       posix_spawn_file_actions_adddup2(&mActions, aOutput, STDOUT_FILENO);
     } else {
-      Append(STDOUT_FILENO, aCommand.mOutputFile);
+      Append(STDOUT_FILENO, aCommand.mStdoutFile);
     }
-    Append(STDERR_FILENO, aCommand.mErrorFile);
-    // Sockets of this process would stay open for as long as the child lives.
+    Append(STDERR_FILENO, aCommand.mStderrFile);
+    // An inherited socket would stay open for as long as the child lives.
     posix_spawn_file_actions_addclosefrom_np(&mActions, STDERR_FILENO + 1);
   }
 
@@ -69,27 +69,27 @@
   posix_spawn_file_actions_t mActions{};
 };
 
-/// Null-ended pointers to strings that outlive them, as exec wants them.
+/// Null-terminated array for exec; the strings must outlive it.
 std::vector<char*>
-Pointers(const std::vector<std::string>& aWords)
+PointersOf(const std::vector<std::string>& aStrings)
 {
   std::vector<char*> pointers;
-  pointers.reserve(aWords.size() + 1);
-  for (const auto& word : aWords) {
-    pointers.push_back(const_cast<char*>(word.c_str()));
+  pointers.reserve(aStrings.size() + 1);
+  for (const auto& text : aStrings) {
+    pointers.push_back(const_cast<char*>(text.c_str()));
   }
   pointers.push_back(nullptr);
   return pointers;
 }
 
 std::vector<std::string>
-WholeEnvironment(const std::vector<std::string>& aFurther)
+FullEnvironment(const std::vector<std::string>& aAdditional)
 {
   std::vector<std::string> all;
   for (char** entry = environ; *entry != nullptr; ++entry) {
     all.emplace_back(*entry);
   }
-  all.insert(all.end(), aFurther.begin(), aFurther.end());
+  all.insert(all.end(), aAdditional.begin(), aAdditional.end());
   return all;
 }
 
@@ -99,7 +99,7 @@
 KillChildrenAndAbort(const std::string& aText)
 {
   std::cerr << aText << "\n";
-  for (const int pid : sStarted) {
+  for (const int pid : sRunning) {
     kill(pid, SIGKILL);
   }
   std::abort();
@@ -109,23 +109,23 @@
 {
   std::array<int, 2> output{};
   if (pipe2(output.data(), O_CLOEXEC) != 0) {
-    KillChildrenAndAbort("no pipe");
+    KillChildrenAndAbort("cannot create a pipe");
   }
   const SpawnActions actions(aCommand, output[1]);
-  const auto environment = WholeEnvironment(aCommand.mEnvironment);
-  const int failed = posix_spawn(&mPid,
-                                 aCommand.mWords.front().c_str(),
-                                 actions.Value(),
-                                 nullptr,
-                                 Pointers(aCommand.mWords).data(),
-                                 Pointers(environment).data());
+  const auto environment = FullEnvironment(aCommand.mEnvironment);
+  const int spawnError = posix_spawn(&mPid,
+                                     aCommand.mArguments.front().c_str(),
+                                     actions.Value(),
+                                     nullptr,
+                                     PointersOf(aCommand.mArguments).data(),
+                                     PointersOf(environment).data());
   close(output[1]);
-  if (failed != 0) {
-    KillChildrenAndAbort(aCommand.mWords.front() +
-                         " cannot be started: " + std::strerror(failed));
+  if (spawnError != 0) {
+    KillChildrenAndAbort(aCommand.mArguments.front() +
+                         " cannot be started: " + std::strerror(spawnError));
   }
-  sStarted.insert(mPid);
-  if (aCommand.mOutputFile.empty()) {
+  sRunning.insert(mPid);
+  if (aCommand.mStdoutFile.empty()) {
     mFirstLine = ReadLine(output[0]);
   }
   close(output[0]);
@@ -150,7 +150,7 @@
 {
   int status = 0;
   if (!mHasExited && waitpid(mPid, &status, WNOHANG) == mPid) {
-    NoteEnd(status);
+    RecordExit(status);
   }
   return mHasExited;
 }
@@ -160,17 +160,17 @@
 {
   int status = 0;
   if (!mHasExited && waitpid(mPid, &status, 0) == mPid) {
-    NoteEnd(status);
+    RecordExit(status);
   }
-  return mExit;
+  return mExitCode;
 }
 
 void
-ChildProcess::NoteEnd(int aStatus)
+ChildProcess::RecordExit(int aStatus)
 {
   mHasExited = true;
-  mExit = WIFEXITED(aStatus) ? WEXITSTATUS(aStatus) : -WTERMSIG(aStatus);
-  sStarted.erase(mPid);
+  mExitCode = WIFEXITED(aStatus) ? WEXITSTATUS(aStatus) : -WTERMSIG(aStatus);
+  sRunning.erase(mPid);
 }
 
 } // namespace shuntjunction::standins
--- a/standins/child_process.h
+++ b/standins/child_process.h
@@ -3,26 +3,26 @@
 #include <string>
 #include <vector>
 
-/// Programs that this process starts, signals and ends, by their ids.
+/// Child processes, which are signalled only by their own process id.
 namespace shuntjunction::standins {
 
-/// What to start, and where its output goes.
+/// Command line, environment and output files of a child process.
 struct ChildCommand
 {
-  std::vector<std::string> mWords;       ///< program and its arguments
-  std::vector<std::string> mEnvironment; ///< further "NAME=value"
-  std::string mErrorFile;                ///< appended to
-  std::string mOutputFile; ///< appended to; empty: its first line is read
+  std::vector<std::string> mArguments;   ///< program, then its arguments
+  std::vector<std::string> mEnvironment; ///< additional "NAME=value"
+  std::string mStderrFile;               ///< opened for appending
+  std::string mStdoutFile; ///< as mStderrFile; if empty, see FirstLine()
 };
 
-/// A program that was started; ended at once when destroyed.
+/// A running child process; the destructor kills it.
 ///
 /// Thread safety: none.
 class ChildProcess
 {
 public:
-  /// Starts a program; one that cannot be started ends this program with a
-  /// message, after all that it has started.
+  /// Starts a program. On failure, kills all children and aborts with a
+  /// message.
   explicit ChildProcess(const ChildCommand& aCommand);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
@@ -30,29 +30,31 @@
 
   int Pid() const { return mPid; }
 
-  /// What it printed first; empty when its output goes to a file.
+  /// First line of standard output; empty if the output goes to a file.
   const std::string& FirstLine() const { return mFirstLine; }
 
-  /// Sends a signal, unless it has ended.
+  /// Sends a signal unless the process has exited.
   void Signal(int aSignal);
 
-  /// Whether it has ended by now.
+  /// Polls whether the process has exited.
   bool HasExited();
 
-  /// Waits for its end; its exit code, or minus its signal.
+  /// Waits for the process; returns its exit code, or minus the signal number
+  /// that killed it.
   int WaitForExit();
 
 private:
-  void NoteEnd(int aStatus);
+  void RecordExit(int aStatus);
 
   int mPid = 0;
   std::string mFirstLine;
   bool mHasExited = false;
-  int mExit = 0;
+  int mExitCode = 0;
 };
 
-/// Ends this program with a message, and before it all that it has started:
-/// nobody else would.
+/// Prints a message, kills all running children and aborts.
+///
+/// The children would otherwise outlive this process.
 [[noreturn]] void
 KillChildrenAndAbort(const std::string& aText);
 
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -1,6 +1,6 @@
-// shuntdemo: the main job before one's eyes. Two routers, three endpoints and
-// a plain service as processes of their own; callers with long shared prompts;
-// one endpoint is killed half-way, and every stream still arrives whole.
+// shuntdemo: starts two routers, three endpoints and a plain service as
+// separate processes and sends calls with long shared prompts. One endpoint is
+// killed while the answers are streamed; every stream must still be complete.
 
 #include <iostream>
 #include <thread>
@@ -13,23 +13,23 @@
 namespace {
 
 using namespace shuntjunction;
-using standins::CallerCall;
-using standins::CallerEnd;
-using standins::CallerOutcome;
+using standins::CallEnd;
+using standins::CallOutcome;
 using standins::Fleet;
+using standins::ModelCall;
 
 constexpr std::size_t kCalls = 24;
 constexpr std::uint32_t kTokens = 120;
-constexpr state::Millis kUntilKill{ 400 };
-constexpr state::Millis kUntilBusy{ 300 };
+constexpr state::Millis kKillDelay{ 400 };
+constexpr state::Millis kBookingPause{ 300 };
 
 void
-Say(const std::string& aText)
+Print(const std::string& aText)
 {
   std::cout << "demo: " << aText << std::endl;
 }
 
-/// A text of some length that begins alike for equal names.
+/// Filler text of at least aBytes; equal names give a common prefix.
 std::string
 Text(const std::string& aName, std::size_t aBytes)
 {
@@ -70,13 +70,13 @@
   aFleet.AwaitReady("router-2");
 }
 
-std::vector<CallerOutcome>
-CallAll(const Fleet& aFleet, const std::function<void()>& aHalfWay)
+std::vector<CallOutcome>
+RunCalls(const Fleet& aFleet, const std::function<void()>& aMidRun)
 {
-  std::vector<CallerCall> calls;
+  std::vector<ModelCall> calls;
   for (std::size_t i = 0; i < kCalls; ++i) {
     const bool isNorth = i % 2 == 0;
-    CallerCall call;
+    ModelCall call;
     call.mRouter = aFleet.Process(i % 4 < 2 ? "router-1" : "router-2").mTraffic;
     call.mKey = isNorth ? "north-key" : "south-key";
     call.mModel = "crew-notes";
@@ -87,32 +87,33 @@
                      "draft the crew notes of trip " + std::to_string(i) };
     calls.push_back(std::move(call));
   }
-  return standins::MakeCalls(calls, kUntilKill, aHalfWay);
+  return standins::MakeCalls(calls, kKillDelay, aMidRun);
 }
 
 bool
-Report(const std::vector<CallerOutcome>& aOutcomes)
+Report(const std::vector<CallOutcome>& aOutcomes)
 {
   std::map<std::string, int> ends;
-  double worst = 0;
+  double slowest = 0;
   for (const auto& outcome : aOutcomes) {
-    ++ends[std::string(standins::kCallerEndNames.Name(outcome.mEnd))];
-    worst = std::max(worst, outcome.mFirstToken.count());
-    if (outcome.mEnd != CallerEnd::kWhole) {
-      Say("not whole: status " + std::to_string(outcome.mStatus) + ", " +
-          std::to_string(outcome.mText.size()) + " bytes, " + outcome.mBody);
+    ++ends[std::string(standins::kCallEndNames.Name(outcome.mEnd))];
+    slowest = std::max(slowest, outcome.mFirstToken.count());
+    if (outcome.mEnd != CallEnd::kComplete) {
+      Print("not complete: status " + std::to_string(outcome.mStatus) + ", " +
+            std::to_string(outcome.mText.size()) + " bytes, " + outcome.mBody);
     }
   }
   for (const auto& [name, count] : ends) {
-    Say(std::to_string(count) + " of " + std::to_string(aOutcomes.size()) +
-        " streams ended " + name + ".");
+    Print(std::to_string(count) + " of " + std::to_string(aOutcomes.size()) +
+          " streams ended as " + name + ".");
   }
-  Say("slowest first token: " + std::to_string(static_cast<int>(worst * 1000)) +
-      " ms.");
+  Print("slowest first token: " +
+        std::to_string(static_cast<int>(slowest * 1000)) + " ms.");
   return ends["whole"] == static_cast<int>(aOutcomes.size());
 }
 
-/// Books once, asks twice with the same key, and counts the runs.
+/// Sends one non-repeatable booking through each router with the same key;
+/// returns whether the service ran it exactly once.
 bool
 BookTwice(const Fleet& aFleet)
 {
@@ -126,27 +127,27 @@
   request.mBody = R"({"patient":7})";
   for (const std::string router : { "router-1", "router-2" }) {
     const auto answer = Fleet::Call(aFleet.Process(router).mTraffic, request);
-    Say("booking through " + router + ": " +
-        (answer ? std::to_string(answer->mStatus) + " " + answer->mBody
-                : answer.error().Describe()));
-    std::this_thread::sleep_for(kUntilBusy);
+    Print("booking through " + router + ": " +
+          (answer ? std::to_string(answer->mStatus) + " " + answer->mBody
+                  : answer.error().Describe()));
+    std::this_thread::sleep_for(kBookingPause);
   }
   transport::HttpRequest audit;
   audit.mTarget = "/audit";
   const auto runs = Fleet::Call(aFleet.Process("service-1").mTraffic, audit);
-  Say("the service ran: " + (runs ? runs->mBody : "?"));
+  Print("runs counted by the service: " + (runs ? runs->mBody : "?"));
   return runs && runs->mBody == R"({"trip-7":1})";
 }
 
 void
-SayUsage(const Fleet& aFleet)
+PrintUsage(const Fleet& aFleet)
 {
   for (const std::string name :
        { "router-1", "router-2", "endpoint-1", "endpoint-3", "booking-1" }) {
     const auto [peak, seconds] = aFleet.Usage(name);
-    Say(name + ": peak memory " + std::to_string(peak) +
-        " KB, processor time " +
-        std::to_string(static_cast<int>(seconds * 1000)) + " ms.");
+    Print(name + ": peak memory " + std::to_string(peak) +
+          " KB, processor time " +
+          std::to_string(static_cast<int>(seconds * 1000)) + " ms.");
   }
 }
 
@@ -155,29 +156,31 @@
 int
 main(int aCount, char** aArguments)
 {
-  CLI::App app("Two routers, three endpoints, and one of them killed.");
+  CLI::App app(
+    "Streams through two routers while one of three endpoints is killed.");
   standins::FleetSettings settings;
   settings.mFolder = "build/demo";
   app.add_option("--binaries", settings.mBinaries)->required();
-  app.add_option("--folder", settings.mFolder, "for settings and logs");
+  app.add_option("--folder", settings.mFolder, "folder for settings and logs");
   CLI11_PARSE(app, aCount, aArguments);
   Fleet fleet(settings);
   StartFleet(fleet);
-  Say("two routers, three endpoints and a service run; idle so far:");
-  SayUsage(fleet);
-  Say(std::to_string(kCalls) + " callers of two teams begin at once.");
-  const auto outcomes = CallAll(fleet, [&] {
-    Say("killing endpoint-2: its engine and its companion.");
+  Print(
+    "two routers, three endpoints and a service are running; usage when idle:");
+  PrintUsage(fleet);
+  Print(std::to_string(kCalls) + " calls of two teams start at the same time.");
+  const auto outcomes = RunCalls(fleet, [&] {
+    Print("killing the engine and the companion of endpoint-2.");
     fleet.Kill("engine-2");
     fleet.Kill("endpoint-2");
   });
-  const bool isWhole = Report(outcomes);
-  const bool isOnce = BookTwice(fleet);
-  Say("after the load:");
-  SayUsage(fleet);
+  const bool areComplete = Report(outcomes);
+  const bool ranOnce = BookTwice(fleet);
+  Print("usage after the load:");
+  PrintUsage(fleet);
   fleet.Signal("router-1", SIGTERM);
-  Say("router-1 stopped with exit code " +
-      std::to_string(fleet.WaitForExit("router-1")) + ".");
-  Say(isWhole && isOnce ? "all is well." : "SOMETHING IS WRONG.");
-  return isWhole && isOnce ? 0 : 1;
+  Print("router-1 stopped with exit code " +
+        std::to_string(fleet.WaitForExit("router-1")) + ".");
+  Print(areComplete && ranOnce ? "all checks passed." : "CHECKS FAILED.");
+  return areComplete && ranOnce ? 0 : 1;
 }
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -23,10 +23,10 @@
 
 namespace {
 
-constexpr Millis kSlotPoll{ 1 };
-constexpr Millis kEventPoll{ 5 };
-constexpr std::size_t kEventsKept = 50000;
-constexpr std::size_t kEventsInAnswer = 5000;
+constexpr Millis kSlotPollInterval{ 1 };
+constexpr Millis kEventPollInterval{ 5 };
+constexpr std::size_t kMaxEvents = 50000;
+constexpr std::size_t kMaxEventsPerResponse = 5000;
 constexpr std::size_t kBytesPerToken = 4;
 constexpr std::size_t kTokensPerBlock = state::kBlockBytes / kBytesPerToken;
 
@@ -40,7 +40,7 @@
   , mWeights(aSettings.mWeights)
   , mRandom(aSettings.mSeed)
 {
-  // A new life has a number that no earlier one had.
+  // The start time identifies the incarnation; it differs from earlier ones.
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   mIncarnation = static_cast<std::uint64_t>(
     std::chrono::duration_cast<std::chrono::microseconds>(now).count());
@@ -62,15 +62,15 @@
   } else if (path == "/v1/completions") {
     co_await Complete(aExchange, RequestKind::kCompletion);
   } else if (path == "/engine/state") {
-    co_await aExchange.Respond(AnswerState());
+    co_await aExchange.Respond(StateResponse());
   } else if (path == "/engine/events") {
-    auto response = co_await AnswerEvents(request);
+    auto response = co_await EventsResponse(request);
     co_await aExchange.Respond(std::move(response));
   } else if (path == "/engine/orders") {
-    auto response = co_await Obey(request);
+    auto response = co_await ApplyOrder(request);
     co_await aExchange.Respond(std::move(response));
   } else if (path == "/engine/audit") {
-    co_await aExchange.Respond(AnswerAudit());
+    co_await aExchange.Respond(AuditResponse());
   } else {
     co_await aExchange.Respond(Refusal(404, "no such path"));
   }
@@ -105,14 +105,14 @@
        at += state::kBlockBytes) {
     parent = state::PlacementHash(
       std::string_view(text).substr(at, state::kBlockBytes), parent);
-    job.mContent.push_back(parent);
+    job.mBlockHashes.push_back(parent);
   }
   if (const auto* names = body->if_contains("block_ids")) {
     for (const auto& name : names->as_array()) {
-      job.mNames.emplace_back(name.as_string());
+      job.mBlockNames.emplace_back(name.as_string());
     }
   }
-  job.mNames.resize(job.mContent.size());
+  job.mBlockNames.resize(job.mBlockHashes.size());
   if (const auto* priority = body->if_contains("priority")) {
     job.mPriority = static_cast<int>(priority->as_int64());
   }
@@ -128,51 +128,51 @@
 }
 
 std::size_t
-EngineStandin::Hits(const Job& aJob)
+EngineStandin::CountCachedBlocks(const Job& aJob)
 {
   std::size_t hits = 0;
-  for (const std::uint64_t content : aJob.mContent) {
+  for (const std::uint64_t content : aJob.mBlockHashes) {
     const auto found = mCache.find(content);
     if (found == mCache.end()) {
       break;
     }
-    mAges.splice(mAges.end(), mAges, found->second.mAge);
+    mLruOrder.splice(mLruOrder.end(), mLruOrder, found->second.mLruPosition);
     ++hits;
   }
   return hits;
 }
 
 void
-EngineStandin::Store(const Job& aJob)
+EngineStandin::StoreBlocks(const Job& aJob)
 {
-  for (std::size_t i = 0; i < aJob.mContent.size(); ++i) {
-    const std::uint64_t content = aJob.mContent[i];
+  for (std::size_t i = 0; i < aJob.mBlockHashes.size(); ++i) {
+    const std::uint64_t content = aJob.mBlockHashes[i];
     if (mCache.contains(content)) {
       continue;
     }
-    while (mCache.size() >= mSettings.mCacheBlocks && !mAges.empty()) {
-      const auto oldest = mCache.find(mAges.front());
+    while (mCache.size() >= mSettings.mCacheBlocks && !mLruOrder.empty()) {
+      const auto oldest = mCache.find(mLruOrder.front());
       AddEvent("evicted", oldest->second.mName);
       mCache.erase(oldest);
-      mAges.pop_front();
+      mLruOrder.pop_front();
     }
-    mAges.push_back(content);
-    mCache[content] = { aJob.mNames[i], std::prev(mAges.end()) };
-    AddEvent("stored", aJob.mNames[i]);
+    mLruOrder.push_back(content);
+    mCache[content] = { aJob.mBlockNames[i], std::prev(mLruOrder.end()) };
+    AddEvent("stored", aJob.mBlockNames[i]);
   }
 }
 
 Task<bool>
-EngineStandin::TakeSlot(Job& aJob)
+EngineStandin::AcquireSlot(Job& aJob)
 {
-  const auto place = mQueue.emplace(aJob.mPriority, ++mNextTicket);
-  const std::uint64_t ticket = place->second;
-  while (!aJob.mIsGone &&
+  const auto position = mQueue.emplace(aJob.mPriority, ++mNextTicket);
+  const std::uint64_t ticket = position->second;
+  while (!aJob.mIsCancelled &&
          (mRunning >= mSettings.mSlots || mQueue.begin()->second != ticket)) {
-    co_await transport::Sleep(kSlotPoll);
+    co_await transport::Sleep(kSlotPollInterval);
   }
-  mQueue.erase(place);
-  if (aJob.mIsGone) {
+  mQueue.erase(position);
+  if (aJob.mIsCancelled) {
     co_return false;
   }
   ++mRunning;
@@ -182,15 +182,15 @@
 Task<void>
 EngineStandin::Prefill(const Job& aJob, std::size_t aHits)
 {
-  const auto missed = aJob.mContent.size() - aHits;
-  mPromptBlocks += aJob.mContent.size();
+  const auto missed = aJob.mBlockHashes.size() - aHits;
+  mPromptBlocks += aJob.mBlockHashes.size();
   mComputedBlocks += missed;
   const auto now = state::BootClock::now();
   const auto cost = std::chrono::microseconds(
     static_cast<std::int64_t>(missed) * mSettings.mMicrosPerBlock);
-  mPrefillFree = std::max(mPrefillFree, now) + cost;
+  mPrefillFreeAt = std::max(mPrefillFreeAt, now) + cost;
   if (missed > 0) {
-    co_await transport::Sleep(mPrefillFree - now);
+    co_await transport::Sleep(mPrefillFreeAt - now);
   }
 }
 
@@ -209,8 +209,8 @@
     co_return;
   }
   ++mExecuted[job->mRequestId];
-  aExchange.OnDisconnect([&job] { job->mIsGone = true; });
-  if (!co_await TakeSlot(*job)) {
+  aExchange.OnDisconnect([&job] { job->mIsCancelled = true; });
+  if (!co_await AcquireSlot(*job)) {
     aExchange.Abort();
     co_return;
   }
@@ -219,9 +219,9 @@
     co_await aExchange.Respond(Refusal(500, "failed"));
     co_return;
   }
-  const std::size_t hits = Hits(*job);
+  const std::size_t hits = CountCachedBlocks(*job);
   co_await Prefill(*job, hits);
-  Store(*job);
+  StoreBlocks(*job);
   co_await Generate(aExchange, *job, hits);
   --mRunning;
 }
@@ -236,20 +236,21 @@
   header.mFields = { { "x-engine-incarnation", std::to_string(mIncarnation) },
                      { "x-weights-version", std::to_string(weights) },
                      { "x-cached-blocks", std::to_string(aHits) } };
-  bool isGood = (co_await aExchange.BeginStream(std::move(header))).has_value();
+  bool isConnected =
+    (co_await aExchange.BeginStream(std::move(header))).has_value();
   const coordination::ResponseMetadata head{ aJob.mKind, "engine", model, 0 };
   for (std::uint32_t i = aJob.mOffset;
-       i < aJob.mTokens && isGood && !aJob.mIsGone;
+       i < aJob.mTokens && isConnected && !aJob.mIsCancelled;
        ++i) {
     if (i > aJob.mOffset) {
       co_await transport::Sleep(
         std::chrono::microseconds(mSettings.mMicrosPerToken));
     }
-    isGood = (co_await aExchange.Write(coordination::WriteChunk(
-                head, AnswerToken(model, weights, aJob.mPrompt, i), {})))
-               .has_value();
+    isConnected = (co_await aExchange.Write(coordination::WriteChunk(
+                     head, AnswerToken(model, weights, aJob.mPrompt, i), {})))
+                    .has_value();
   }
-  if (!isGood || aJob.mIsGone) {
+  if (!isConnected || aJob.mIsCancelled) {
     aExchange.Abort();
     co_return;
   }
@@ -266,7 +267,7 @@
   }
 }
 
-// State, events, orders.
+// State, events and orders.
 
 void
 EngineStandin::AddEvent(std::string aKind, std::string aBlock)
@@ -280,13 +281,13 @@
       std::move(aKind),
       std::move(aBlock),
       state::BootClock::now() + Millis(mSettings.mEventDelayMs) });
-  if (mEvents.size() > kEventsKept) {
+  if (mEvents.size() > kMaxEvents) {
     mEvents.pop_front();
   }
 }
 
 Task<HttpResponse>
-EngineStandin::AnswerEvents(const HttpRequest& aRequest)
+EngineStandin::EventsResponse(const HttpRequest& aRequest)
 {
   const auto after = NumberOf<std::uint64_t>(aRequest.Query("after"), 0);
   const auto until =
@@ -303,7 +304,7 @@
                          return aAfter < aEvent.mSequence;
                        });
     for (auto at = first; at != mEvents.end() && at->mVisibleAt <= now &&
-                          events.size() < kEventsInAnswer;
+                          events.size() < kMaxEventsPerResponse;
          ++at) {
       events.push_back(json::object{ { "seq", at->mSequence },
                                      { "kind", at->mKind },
@@ -314,12 +315,12 @@
                       json::object{ { "incarnation", mIncarnation },
                                     { "events", std::move(events) } });
     }
-    co_await transport::Sleep(kEventPoll);
+    co_await transport::Sleep(kEventPollInterval);
   }
 }
 
 HttpResponse
-EngineStandin::AnswerState() const
+EngineStandin::StateResponse() const
 {
   json::array adapters;
   for (const auto& adapter : mAdapters) {
@@ -337,7 +338,7 @@
 }
 
 HttpResponse
-EngineStandin::AnswerAudit() const
+EngineStandin::AuditResponse() const
 {
   json::object executed;
   for (const auto& [id, count] : mExecuted) {
@@ -348,11 +349,11 @@
                              { "promptBlocks", mPromptBlocks },
                              { "computedBlocks", mComputedBlocks },
                              { "orders", mOrders },
-                             { "oldOrders", mOldOrders } });
+                             { "oldOrders", mStaleOrders } });
 }
 
 Task<HttpResponse>
-EngineStandin::Obey(const HttpRequest& aRequest)
+EngineStandin::ApplyOrder(const HttpRequest& aRequest)
 {
   const auto value = state::ParseJson(aRequest.mBody, "order");
   if (!value) {
@@ -371,7 +372,7 @@
   }
   ++mOrders;
   if (fence < mFence) {
-    ++mOldOrders;
+    ++mStaleOrders;
     if (mSettings.mChecksFences) {
       co_return Refusal(409, "an old fencing number");
     }
@@ -391,7 +392,7 @@
     }
     co_await transport::Sleep(Millis(mSettings.mLoadMs));
     mCache.clear();
-    mAges.clear();
+    mLruOrder.clear();
     AddEvent("cleared", "");
   }
   mModel = model;
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -27,30 +27,30 @@
 
 namespace {
 
-constexpr std::size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
-constexpr Millis kPoll{ 20 };
-constexpr int kPollsUntilLost = 1500;
+constexpr std::size_t kMaxResponseBytes = 64UL * 1024 * 1024;
+constexpr Millis kPollInterval{ 20 };
+constexpr int kMaxPolls = 1500;
 constexpr std::string_view kPlatformName = "platform";
 constexpr std::string_view kAnyPort = "127.0.0.1:0";
 
 [[noreturn]] void
-Die(const std::string& aText)
+Abort(const std::string& aText)
 {
   KillChildrenAndAbort("fleet: " + aText);
 }
 
 json::object
-ObjectOf(const std::string& aText)
+ParseObject(const std::string& aText)
 {
   auto value = state::ParseJson(aText, "settings");
   if (!value || !value->is_object()) {
-    Die("not a JSON object: " + aText);
+    Abort("not a JSON object: " + aText);
   }
   return value->as_object();
 }
 
 std::string
-TextOf(const json::object& aObject, std::string_view aKey)
+StringField(const json::object& aObject, std::string_view aKey)
 {
   const auto* value = aObject.if_contains(aKey);
   return value != nullptr && value->is_string()
@@ -83,11 +83,11 @@
     ChildCommand{ aCommand, {}, process.mLog, {} });
   const auto line = state::ParseJson(process.mChild->FirstLine(), aName);
   if (!line || !line->is_object()) {
-    Die(aName + " did not start; see " + process.mLog);
+    Abort(aName + " did not start; see " + process.mLog);
   }
-  process.mTraffic = TextOf(line->as_object(), "traffic");
-  process.mAdmin = TextOf(line->as_object(), "admin");
-  process.mFar = TextOf(line->as_object(), "far");
+  process.mTraffic = StringField(line->as_object(), "traffic");
+  process.mAdmin = StringField(line->as_object(), "admin");
+  process.mSecondary = StringField(line->as_object(), "far");
   mProcesses[aName] = process;
   return process;
 }
@@ -106,13 +106,14 @@
                       const std::string& aRole,
                       const std::string& aZone) const
 {
-  json::object settings = ObjectOf(mSettings.mProcessExtra);
+  json::object settings = ParseObject(mSettings.mProcessExtra);
   settings["name"] = aName;
   settings["role"] = aRole;
   settings["zone"] = aZone;
-  const bool isFar = aZone == mSettings.mFarZone;
-  settings["platform"] =
-    isFar ? Process(std::string(kPlatformName)).mFar : Platform();
+  const bool isPartitionable = aZone == mSettings.mPartitionableZone;
+  settings["platform"] = isPartitionable
+                           ? Process(std::string(kPlatformName)).mSecondary
+                           : Platform();
   settings["secret"] = mSettings.mSecret;
   json::array peers;
   for (const auto& address : mCompanions) {
@@ -145,7 +146,7 @@
                                     "--weight-store",
                                     Platform() };
   command.insert(command.end(), aOptions.begin(), aOptions.end());
-  // An engine that comes back keeps its address, as one on its instance does.
+  // A restarted engine keeps its address, as it would on a real instance.
   const auto before = mAddresses.find(aName);
   if (before != mAddresses.end()) {
     command.insert(command.begin() + 1, { "--listen", before->second });
@@ -170,7 +171,7 @@
                       bool aIsEngine)
 {
   json::object settings = CommonSettings(aName, "companion", aZone);
-  json::object companion = ObjectOf(mSettings.mCompanionExtra);
+  json::object companion = ParseObject(mSettings.mCompanionExtra);
   companion["listen"] = kAnyPort;
   companion["backend"] = Process(aBackend).mTraffic;
   companion["backendKind"] = aIsEngine ? "engine" : "service";
@@ -180,22 +181,22 @@
           "--settings",
           WriteSettings(aName, settings) });
   mCompanions.push_back(Process(aName).mTraffic);
-  List(aName, "companion", aZone, false);
+  Register(aName, "companion", aZone, false);
 }
 
 void
 Fleet::Rename(const std::string& aName, const std::string& aNewName)
 {
-  auto known = mProcesses.extract(aName);
-  known.key() = aNewName;
-  mProcesses.insert(std::move(known));
+  auto entry = mProcesses.extract(aName);
+  entry.key() = aNewName;
+  mProcesses.insert(std::move(entry));
 }
 
 void
 Fleet::StartRouter(const std::string& aName, const std::string& aZone)
 {
   SpawnRouter(aName, aZone);
-  List(aName, "router", aZone, false);
+  Register(aName, "router", aZone, false);
 }
 
 void
@@ -209,7 +210,7 @@
 Fleet::SpawnRouter(const std::string& aName, const std::string& aZone)
 {
   json::object settings = CommonSettings(aName, "router", aZone);
-  json::object router = ObjectOf(mSettings.mRouterExtra);
+  json::object router = ParseObject(mSettings.mRouterExtra);
   router["listen"] = kAnyPort;
   settings["router"] = std::move(router);
   Spawn(aName,
@@ -253,7 +254,7 @@
 {
   const auto found = mProcesses.find(aName);
   if (found == mProcesses.end()) {
-    Die("no process " + aName);
+    Abort("no process is named " + aName);
   }
   return found->second;
 }
@@ -268,7 +269,7 @@
     return tl::unexpected(address.error());
   }
   boost::asio::io_context context(1);
-  transport::HttpClient client(*address, kMaxAnswerBytes);
+  transport::HttpClient client(*address, kMaxResponseBytes);
   return transport::RunTask(context, client.Send(aRequest, Millis(aTimeoutMs)));
 }
 
@@ -284,16 +285,16 @@
   request.mBody = aBody;
   const auto answer = Call(Platform(), request);
   if (!answer || answer->mStatus != 200) {
-    Die("the platform refused " + aTarget + ": " +
-        (answer ? answer->mBody : answer.error().Describe()));
+    Abort("the platform refused " + aTarget + ": " +
+          (answer ? answer->mBody : answer.error().Describe()));
   }
 }
 
 void
-Fleet::List(const std::string& aName,
-            const std::string& aRole,
-            const std::string& aZone,
-            bool aIsLeaving)
+Fleet::Register(const std::string& aName,
+                const std::string& aRole,
+                const std::string& aZone,
+                bool aIsLeaving)
 {
   PutToPlatform(
     "/v1/instances/" + aName,
@@ -305,7 +306,7 @@
 }
 
 void
-Fleet::Unlist(const std::string& aName)
+Fleet::Deregister(const std::string& aName)
 {
   PutToPlatform("/v1/instances/" + aName, "", "DELETE");
 }
@@ -336,14 +337,14 @@
 {
   HttpRequest request;
   request.mTarget = "/readyz";
-  for (int i = 0; i < kPollsUntilLost; ++i) {
+  for (int i = 0; i < kMaxPolls; ++i) {
     const auto answer = Call(Process(aName).mAdmin, request);
     if (answer && answer->mStatus == 200) {
       return;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  Die(aName + " did not get ready; see " + Process(aName).mLog);
+  Abort(aName + " did not become ready; see " + Process(aName).mLog);
 }
 
 void
@@ -351,7 +352,7 @@
 {
   HttpRequest request;
   request.mTarget = "/engine/state";
-  for (int i = 0; i < kPollsUntilLost; ++i) {
+  for (int i = 0; i < kMaxPolls; ++i) {
     std::size_t serving = 0;
     for (const auto& [name, process] : mProcesses) {
       const auto answer = process.mAdmin.empty()
@@ -360,16 +361,16 @@
       const auto value =
         state::ParseJson(answer ? answer->mBody : "null", name);
       const auto* found = value ? value->if_object() : nullptr;
-      if (found != nullptr && TextOf(*found, "model") == aModel) {
+      if (found != nullptr && StringField(*found, "model") == aModel) {
         ++serving;
       }
     }
     if (serving >= aCount) {
       return;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  Die("the engines did not load " + aModel);
+  Abort("too few engines loaded " + aModel);
 }
 
 double
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -12,36 +12,38 @@
 #include "shuntjunction/state/error.h"
 #include "shuntjunction/transport/http_types.h"
 
-/// A small fleet of processes on this machine, for demo, tests and benchmarks.
+/// Runs a small fleet of local processes for the demo, tests and benchmarks.
 namespace shuntjunction::standins {
 
-/// A process that was started.
+/// A started process and its addresses.
 struct FleetProcess
 {
   std::shared_ptr<ChildProcess> mChild;
-  std::string mTraffic; ///< address that it takes traffic on
-  std::string mAdmin;   ///< address of its operators' port; empty for stand-ins
-  std::string mFar;     ///< second address of the platform
-  std::string mLog;     ///< file that its log goes to
+  std::string mTraffic;   ///< address for traffic
+  std::string mAdmin;     ///< address of the admin port; empty for stand-ins
+  std::string mSecondary; ///< secondary address; only the platform has one
+  std::string mLog;       ///< path of the log file
 };
 
-/// Where the programs are and how the processes are set up.
+/// Location of the programs and settings of the processes.
 struct FleetSettings
 {
-  std::string mBinaries; ///< folder of the build
-  std::string mFolder;   ///< for settings files and logs; made if absent
+  std::string mBinaries; ///< build folder
+  std::string mFolder;   ///< for settings files and logs; created if missing
   std::string mSecret = "a secret of this fleet";
-  std::string mRouterExtra = "{}";    ///< further members of "router"
-  std::string mCompanionExtra = "{}"; ///< further members of "companion"
-  std::string mProcessExtra = "{}";   ///< further members of all settings
-  std::string mFarZone; ///< its processes reach the platform by its far door
+  std::string mRouterExtra = "{}";    ///< additional members of "router"
+  std::string mCompanionExtra = "{}"; ///< additional members of "companion"
+  std::string mProcessExtra = "{}";   ///< additional top-level settings
+  /// Processes of this zone use the platform's secondary address, which can be
+  /// cut off separately.
+  std::string mPartitionableZone;
 };
 
-/// Starts, signals and ends processes; ends all of them when destroyed.
+/// Starts, signals and kills processes; the destructor kills all of them.
 ///
-/// Names are those that the platform lists. Every port is the kernel's.
-/// Thread safety: none. Failures end the program with a message: a fleet that
-/// does not start leaves nothing to test.
+/// Processes have the names that the platform lists. The kernel assigns ports.
+/// Thread safety: none. A failure aborts the program with a message, since
+/// nothing can be tested without a working fleet.
 class Fleet
 {
 public:
@@ -50,81 +52,82 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Starts the platform stand-in; needed before all others.
+  /// Starts the platform stand-in. Must be called before all other starts.
   void StartPlatform();
 
-  /// Starts an engine stand-in with further options.
+  /// Starts an engine stand-in with additional command line options.
   void StartEngine(const std::string& aName,
                    const std::vector<std::string>& aOptions);
 
-  /// Starts a plain service stand-in.
+  /// Starts a service stand-in whose calls take aDelayMs.
   void StartService(const std::string& aName, std::int64_t aDelayMs);
 
-  /// Starts a companion beside a backend and lists it in the platform.
+  /// Starts a companion for a backend and registers it with the platform.
   void StartCompanion(const std::string& aName,
                       const std::string& aBackend,
                       const std::string& aZone,
                       bool aIsEngine = true);
 
-  /// Starts a router and lists it in the platform.
+  /// Starts a router and registers it with the platform.
   void StartRouter(const std::string& aName, const std::string& aZone);
 
-  /// Ends a router at once and starts it again; the list is left as it is.
+  /// Kills a router and starts it again; the platform's list is not changed.
   void RestartRouter(const std::string& aName, const std::string& aZone);
 
   /// Sends a signal to a process.
   void Signal(const std::string& aName, int aSignal);
 
-  /// Waits for a process to end; its exit code, or minus its signal.
+  /// Waits for a process and removes it; returns its exit code, or minus the
+  /// signal number that killed it.
   int WaitForExit(const std::string& aName);
 
-  /// Ends a process at once and forgets it.
+  /// Kills a process with SIGKILL and removes it.
   void Kill(const std::string& aName);
 
-  /// Knows a process by another name from now on, as the platform does with
-  /// an instance that it takes for lost.
+  /// Changes the name of a process in this fleet, so that the replacement of
+  /// an instance presumed lost can take the old name while the process runs.
   void Rename(const std::string& aName, const std::string& aNewName);
 
-  /// Whether a process is known and has not ended.
+  /// Whether a process of this name is running.
   bool IsRunning(const std::string& aName);
 
-  /// A process that was started.
+  /// The process of this name; aborts if there is none.
   const FleetProcess& Process(const std::string& aName) const;
 
-  /// Lists an instance in the platform, or changes its entry.
-  void List(const std::string& aName,
-            const std::string& aRole,
-            const std::string& aZone,
-            bool aIsLeaving);
+  /// Registers an instance with the platform or updates its entry.
+  void Register(const std::string& aName,
+                const std::string& aRole,
+                const std::string& aZone,
+                bool aIsLeaving);
 
-  /// Takes an instance off the platform's list.
-  void Unlist(const std::string& aName);
+  /// Removes an instance from the platform's list.
+  void Deregister(const std::string& aName);
 
-  /// Writes a configuration object, whatever its revision.
+  /// Writes a configuration object, replacing any existing revision.
   void Apply(const std::string& aKey, const std::string& aValue);
 
-  /// Sets the platform's faults, as JSON.
+  /// Replaces the platform's faults; see PlatformStandin for the JSON.
   void SetFaults(const std::string& aFaults);
 
-  /// Waits until a process's /readyz says that it is ready.
+  /// Waits until /readyz of a process returns 200.
   void AwaitReady(const std::string& aName);
 
-  /// Waits until a router's metrics show all endpoints in use.
+  /// Waits until at least aCount engines have loaded a model.
   void AwaitEngines(const std::string& aModel, std::size_t aCount);
 
-  /// Value of a metric of a process, summed over all its labels.
+  /// Value of a process's metric, summed over all label sets.
   double Metric(const std::string& aName, const std::string& aMetric) const;
 
   /// Peak resident memory in kilobytes and processor time in seconds.
   std::pair<std::int64_t, double> Usage(const std::string& aName) const;
 
-  /// One HTTP call; waits for the whole answer.
+  /// Sends one HTTP request and waits for the complete response.
   static state::Result<transport::HttpResponse> Call(
     const std::string& aAddress,
     const transport::HttpRequest& aRequest,
     std::int64_t aTimeoutMs = 5000);
 
-  /// Address of the platform.
+  /// Primary address of the platform.
   const std::string& Platform() const;
 
 private:
@@ -142,11 +145,12 @@
 
   FleetSettings mSettings;
   std::map<std::string, FleetProcess> mProcesses;
-  std::vector<std::string> mCompanions;          ///< their addresses, for peers
-  std::map<std::string, std::string> mAddresses; ///< of killed processes
+  std::vector<std::string> mCompanions; ///< traffic addresses, used as peers
+  /// Addresses of killed processes by name, for a restart.
+  std::map<std::string, std::string> mAddresses;
 };
 
-/// The digest of a bearer key, as team objects hold it.
+/// Digest of a bearer token, as stored in team objects.
 std::string
 KeyDigest(const std::string& aKey);
 
--- a/standins/json_reply.h
+++ b/standins/json_reply.h
@@ -7,16 +7,16 @@
 
 #include "shuntjunction/transport/http_types.h"
 
-/// What the stand-ins share in speaking HTTP with JSON.
+/// Helpers for HTTP responses with JSON bodies and for parsing numbers.
 namespace shuntjunction::standins {
 
-/// A response with a JSON body.
+/// Makes a response with a JSON body.
 ///
 /// Thread safety: pure.
 transport::HttpResponse
 Reply(unsigned aStatus, const boost::json::value& aBody);
 
-/// The number that a text begins with, or aDefault when there is none.
+/// Parses a leading number; aDefault if the text does not begin with one.
 ///
 /// Thread safety: pure.
 template<typename Number>
--- a/standins/platform_standin.cpp
+++ b/standins/platform_standin.cpp
@@ -21,9 +21,9 @@
 
 constexpr std::string_view kObjects = "/v1/objects";
 constexpr std::string_view kInstances = "/v1/instances";
-constexpr Millis kWatchPoll{ 10 };
-constexpr Millis kHungPoll{ 50 };
-constexpr std::size_t kChangesKept = 20000;
+constexpr Millis kWatchPollInterval{ 10 };
+constexpr Millis kHangPollInterval{ 50 };
+constexpr std::size_t kMaxChanges = 20000;
 constexpr std::size_t kMaxValueBytes = 1024UL * 1024;
 
 json::object
@@ -60,24 +60,24 @@
 }
 
 Task<void>
-PlatformStandin::HeldUp(bool aIsFar)
+PlatformStandin::WaitWhileCut(bool aIsSecondary)
 {
-  while (aIsFar && mFaults.mIsFarCut) {
-    co_await transport::Sleep(kHungPoll);
+  while (aIsSecondary && mFaults.mIsSecondaryCut) {
+    co_await transport::Sleep(kHangPollInterval);
   }
 }
 
 Task<void>
-PlatformStandin::Serve(HttpExchange& aExchange, bool aIsFar)
+PlatformStandin::Serve(HttpExchange& aExchange, bool aIsSecondary)
 {
-  co_await HeldUp(aIsFar);
+  co_await WaitWhileCut(aIsSecondary);
   const HttpRequest& request = aExchange.Request();
   const std::string_view path = request.Path();
   const bool isControl =
     path == "/faults" || path == "/counts" || path == "/restore";
   if (!isControl) {
     while (mFaults.mIsHung) {
-      co_await transport::Sleep(kHungPoll);
+      co_await transport::Sleep(kHangPollInterval);
     }
     if (mFaults.mSlowMs > 0) {
       co_await transport::Sleep(Millis(mFaults.mSlowMs));
@@ -94,9 +94,9 @@
     aExchange.Abort();
     co_return;
   }
-  auto response = co_await Answer(request);
-  co_await HeldUp(aIsFar);
-  if (isWrite && Chance(mFaults.mLostAnswers)) {
+  auto response = co_await Dispatch(request);
+  co_await WaitWhileCut(aIsSecondary);
+  if (isWrite && Chance(mFaults.mLostResponses)) {
     aExchange.Abort();
     co_return;
   }
@@ -104,33 +104,33 @@
 }
 
 Task<HttpResponse>
-PlatformStandin::Answer(const HttpRequest& aRequest)
+PlatformStandin::Dispatch(const HttpRequest& aRequest)
 {
   const std::string_view path = aRequest.Path();
   const bool isGet = aRequest.mMethod == "GET";
   if (path == kObjects && isGet) {
     ++mCounts["list"];
-    co_return AnswerList(aRequest);
+    co_return ListObjects(aRequest);
   }
   if (path.starts_with(kObjects) && path.size() > kObjects.size() + 1) {
     const std::string key(path.substr(kObjects.size() + 1));
     ++mCounts[isGet ? "read" : "write"];
-    co_return isGet ? AnswerRead(key) : AnswerWrite(aRequest, key);
+    co_return isGet ? ReadObject(key) : WriteObject(aRequest, key);
   }
   if (path == "/v1/watch" && isGet) {
     ++mCounts["watch"];
-    co_return co_await AnswerWatch(aRequest);
+    co_return co_await WatchObjects(aRequest);
   }
   if (path == kInstances && isGet) {
     ++mCounts["instances"];
-    co_return co_await AnswerInstances(aRequest);
+    co_return co_await ListInstances(aRequest);
   }
   if (path.starts_with(kInstances) && path.size() > kInstances.size() + 1) {
     co_return ChangeInstance(aRequest);
   }
   if (path.starts_with("/v1/weights/") && isGet) {
     ++mCounts["weights"];
-    co_return AnswerWeights();
+    co_return FetchWeights();
   }
   if (path == "/faults") {
     co_return SetFaults(aRequest);
@@ -166,7 +166,7 @@
 }
 
 HttpResponse
-PlatformStandin::AnswerList(const HttpRequest& aRequest)
+PlatformStandin::ListObjects(const HttpRequest& aRequest)
 {
   const std::string prefix = aRequest.Query("prefix");
   const bool isStale = mFaults.mStaleBy > 0;
@@ -187,7 +187,7 @@
 }
 
 HttpResponse
-PlatformStandin::AnswerRead(const std::string& aKey)
+PlatformStandin::ReadObject(const std::string& aKey)
 {
   const auto found = mObjects.find(aKey);
   if (found == mObjects.end()) {
@@ -198,7 +198,7 @@
 }
 
 HttpResponse
-PlatformStandin::AnswerWrite(const HttpRequest& aRequest,
+PlatformStandin::WriteObject(const HttpRequest& aRequest,
                              const std::string& aKey)
 {
   const auto found = mObjects.find(aKey);
@@ -219,14 +219,14 @@
     mObjects[aKey] = { mRevision, aRequest.mBody };
   }
   mChanges.push_back({ mRevision, aKey, isDelete ? "" : aRequest.mBody });
-  if (mChanges.size() > kChangesKept) {
+  if (mChanges.size() > kMaxChanges) {
     mChanges.pop_front();
   }
   return Reply(200, json::object{ { "revision", mRevision } });
 }
 
 Task<HttpResponse>
-PlatformStandin::AnswerWatch(const HttpRequest& aRequest)
+PlatformStandin::WatchObjects(const HttpRequest& aRequest)
 {
   const std::string prefix = aRequest.Query("prefix");
   const auto after = NumberOf<std::uint64_t>(aRequest.Query("after"), 0);
@@ -236,11 +236,11 @@
   if (!mChanges.empty() && after + 1 < mChanges.front().mRevision) {
     co_return Refusal(410, "changes are forgotten");
   }
-  // One who knows more than the platform is told so at once.
+  // A caller ahead of the platform gets the current revision at once.
   const bool isFuture = after > mRevision;
-  const std::uint64_t restores = mRestores;
+  const std::uint64_t restores = mRestoreCount;
   while (true) {
-    // The newest change of each object is enough.
+    // Only the newest change of each object is returned.
     std::map<std::string, const Change*> newest;
     const auto first =
       std::upper_bound(mChanges.begin(),
@@ -254,10 +254,10 @@
         newest[at->mKey] = &*at;
       }
     }
-    const bool isOver = state::BootClock::now() >= until;
-    const bool isEnded =
-      isOver || isFuture || mFaults.mIsDown || restores != mRestores;
-    if (!newest.empty() || isEnded) {
+    const bool isTimedOut = state::BootClock::now() >= until;
+    const bool mustReturn =
+      isTimedOut || isFuture || mFaults.mIsDown || restores != mRestoreCount;
+    if (!newest.empty() || mustReturn) {
       json::array changes;
       for (const auto& [key, change] : newest) {
         changes.push_back(ObjectJson(key, change->mRevision, change->mValue));
@@ -266,19 +266,19 @@
                       json::object{ { "revision", mRevision },
                                     { "changes", std::move(changes) } });
     }
-    co_await transport::Sleep(kWatchPoll);
+    co_await transport::Sleep(kWatchPollInterval);
   }
 }
 
 Task<HttpResponse>
-PlatformStandin::AnswerInstances(const HttpRequest& aRequest)
+PlatformStandin::ListInstances(const HttpRequest& aRequest)
 {
   const auto after = NumberOf<std::uint64_t>(aRequest.Query("after"), 0);
   const auto until =
     state::BootClock::now() +
     Millis(NumberOf<std::uint64_t>(aRequest.Query("wait_ms"), 0));
   while (mInstancesRevision <= after && state::BootClock::now() < until) {
-    co_await transport::Sleep(kWatchPoll);
+    co_await transport::Sleep(kWatchPollInterval);
   }
   json::array list;
   for (const auto& [name, text] : mInstances) {
@@ -305,7 +305,7 @@
 }
 
 HttpResponse
-PlatformStandin::AnswerWeights()
+PlatformStandin::FetchWeights()
 {
   if (mFaults.mWeightsPerSecond > 0) {
     const auto now = state::BootClock::now();
@@ -332,9 +332,9 @@
   PlatformFaults faults;
   faults.mIsDown = reader.Flag("down", false);
   faults.mIsHung = reader.Flag("hung", false);
-  faults.mIsFarCut = reader.Flag("farCut", false);
+  faults.mIsSecondaryCut = reader.Flag("farCut", false);
   faults.mSlowMs = reader.Integer("slowMs", 0, 60000, 0);
-  faults.mLostAnswers = reader.Number("lostAnswers", 0, 1, 0);
+  faults.mLostResponses = reader.Number("lostAnswers", 0, 1, 0);
   faults.mLostWrites = reader.Number("lostWrites", 0, 1, 0);
   faults.mStaleBy =
     static_cast<std::uint64_t>(reader.Integer("staleBy", 0, 1000000, 0));
@@ -355,18 +355,18 @@
     return aChange.mRevision > revision;
   });
   mRevision = std::min(mRevision, revision);
-  ++mRestores;
+  ++mRestoreCount;
   return Reply(200, json::object{ { "revision", mRevision } });
 }
 
 Task<void>
-FarDoor::Handle(HttpExchange& aExchange)
+SecondaryAddress::Handle(HttpExchange& aExchange)
 {
   co_await mPlatform.Serve(aExchange, true);
 }
 
 HttpResponse
-FarDoor::Refusal(unsigned aStatus, std::string_view aText)
+SecondaryAddress::Refusal(unsigned aStatus, std::string_view aText)
 {
   return mPlatform.Refusal(aStatus, aText);
 }
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -8,36 +8,36 @@
 
 #include "shuntjunction/transport/http_server.h"
 
-/// The platform's object API, in memory, with faults on demand.
+/// In-memory implementation of the platform's object API with fault injection.
 namespace shuntjunction::standins {
 
-/// What is wrong with the platform at present.
+/// Faults that the platform stand-in injects.
 struct PlatformFaults
 {
-  bool mIsDown = false;       ///< every call is answered 503, without effect
-  bool mIsHung = false;       ///< no call is answered
-  bool mIsFarCut = false;     ///< no call through the far door is answered
-  std::int64_t mSlowMs = 0;   ///< added to every call
-  double mLostAnswers = 0;    ///< share of writes cut off after their effect
-  double mLostWrites = 0;     ///< share of writes cut off before it
-  std::uint64_t mStaleBy = 0; ///< lists and reads are so many revisions old
-  std::int64_t mWeightsPerSecond = 0; ///< limit of the weight store; 0 none
+  bool mIsDown = false;         ///< every call returns 503 without effect
+  bool mIsHung = false;         ///< no call returns
+  bool mIsSecondaryCut = false; ///< no call via the secondary address returns
+  std::int64_t mSlowMs = 0;     ///< delay of every call
+  double mLostResponses = 0;    ///< share of writes aborted after their effect
+  double mLostWrites = 0;       ///< share of writes aborted without effect
+  std::uint64_t mStaleBy = 0;   ///< revisions by which lists lag behind
+  std::int64_t mWeightsPerSecond = 0; ///< limit of weight fetches; 0: none
 };
 
-/// Objects with revisions, watches, the list of instances, the weight store.
+/// Serves versioned objects, watches, the list of instances and weights.
 ///
 ///     GET    /v1/objects?prefix=P             list
 ///     GET    /v1/objects/KEY                  read, 404 when absent
 ///     PUT    /v1/objects/KEY?if_revision=N    409 when the revision differs
 ///     DELETE /v1/objects/KEY?if_revision=N
-///     GET    /v1/watch?prefix=P&after=N&wait_ms=M   410 when N is forgotten
+///     GET    /v1/watch?prefix=P&after=N&wait_ms=M   410 when N was compacted
 ///     GET    /v1/instances?after=N&wait_ms=M
-///     PUT    /v1/instances/NAME               the platform's own hand
-///     DELETE /v1/instances/NAME
+///     PUT    /v1/instances/NAME               registers an instance
+///     DELETE /v1/instances/NAME               removes an instance
 ///     GET    /v1/weights/MODEL/VERSION        429 above the limit
 ///     POST   /faults                          PlatformFaults as JSON
-///     POST   /restore?revision=N              back to an older state
-///     GET    /counts                          calls so far, by kind
+///     POST   /restore?revision=N              restores an older revision
+///     GET    /counts                          number of calls by kind
 class PlatformStandin final : public transport::HttpHandler
 {
 public:
@@ -47,10 +47,13 @@
   transport::HttpResponse Refusal(unsigned aStatus,
                                   std::string_view aText) override;
 
-  /// Serves a call that came through the far door or not.
-  transport::Task<void> Serve(transport::HttpExchange& aExchange, bool aIsFar);
+  /// Serves a call.
+  ///
+  /// @param aIsSecondary  whether it came via the secondary address
+  transport::Task<void> Serve(transport::HttpExchange& aExchange,
+                              bool aIsSecondary);
 
-  /// Faults in force; may be changed at any time.
+  /// Active faults; may be changed at any time.
   PlatformFaults& Faults() { return mFaults; }
 
 private:
@@ -63,24 +66,24 @@
   {
     std::uint64_t mRevision = 0;
     std::string mKey;
-    std::string mValue; ///< empty when deleted
+    std::string mValue; ///< empty for a deletion
   };
   using Objects = std::map<std::string, Object>;
 
-  transport::Task<void> HeldUp(bool aIsFar);
-  transport::Task<transport::HttpResponse> Answer(
+  transport::Task<void> WaitWhileCut(bool aIsSecondary);
+  transport::Task<transport::HttpResponse> Dispatch(
     const transport::HttpRequest& aRequest);
-  transport::HttpResponse AnswerList(const transport::HttpRequest& aRequest);
-  transport::HttpResponse AnswerRead(const std::string& aKey);
-  transport::HttpResponse AnswerWrite(const transport::HttpRequest& aRequest,
+  transport::HttpResponse ListObjects(const transport::HttpRequest& aRequest);
+  transport::HttpResponse ReadObject(const std::string& aKey);
+  transport::HttpResponse WriteObject(const transport::HttpRequest& aRequest,
                                       const std::string& aKey);
-  transport::Task<transport::HttpResponse> AnswerWatch(
+  transport::Task<transport::HttpResponse> WatchObjects(
     const transport::HttpRequest& aRequest);
-  transport::Task<transport::HttpResponse> AnswerInstances(
+  transport::Task<transport::HttpResponse> ListInstances(
     const transport::HttpRequest& aRequest);
   transport::HttpResponse ChangeInstance(
     const transport::HttpRequest& aRequest);
-  transport::HttpResponse AnswerWeights();
+  transport::HttpResponse FetchWeights();
   transport::HttpResponse SetFaults(const transport::HttpRequest& aRequest);
   transport::HttpResponse Restore(const transport::HttpRequest& aRequest);
   Objects ObjectsAt(std::uint64_t aRevision) const;
@@ -90,7 +93,7 @@
   Objects mObjects;
   std::deque<Change> mChanges;
   std::uint64_t mRevision = 0;
-  std::uint64_t mRestores = 0; ///< each ends the watches that wait
+  std::uint64_t mRestoreCount = 0; ///< incremented to end pending watches
   std::map<std::string, std::string> mInstances;
   std::uint64_t mInstancesRevision = 1;
   std::map<std::string, std::uint64_t> mCounts;
@@ -99,16 +102,16 @@
   std::mt19937_64 mRandom;
 };
 
-/// A second address of the platform, for processes that may be cut off alone.
+/// Secondary address of the platform, which can be cut off separately.
 ///
-/// While it is cut, calls through it are held up and so are the answers to
-/// earlier ones; calls take effect when it is healed, though their callers have
-/// long given up.
-class FarDoor final : public transport::HttpHandler
+/// While it is cut off, requests and responses on it are delayed. A delayed
+/// request takes effect once the address is restored, even if its caller has
+/// timed out by then.
+class SecondaryAddress final : public transport::HttpHandler
 {
 public:
-  /// @param aPlatform  outlives the door
-  explicit FarDoor(PlatformStandin& aPlatform)
+  /// @param aPlatform  must outlive this object
+  explicit SecondaryAddress(PlatformStandin& aPlatform)
     : mPlatform(aPlatform)
   {
   }
--- a/standins/service_standin.h
+++ b/standins/service_standin.h
@@ -6,17 +6,19 @@
 
 #include "shuntjunction/transport/http_server.h"
 
-/// A plain service some of whose calls must not be repeated.
+/// Simulated service with calls that must not run twice.
 namespace shuntjunction::standins {
 
-/// Answers any call with what it did, and counts runs by idempotency key.
+/// Answers each call with a description of it and counts runs by idempotency
+/// key.
 ///
-///     any /audit    runs by idempotency key
-///     any else      {"done": "METHOD /path", "run": N}
+///     any /audit    number of runs by idempotency key
+///     any /healthz  {"ok": true}
+///     any other     {"done": "METHOD /path", "run": N}
 class ServiceStandin final : public transport::HttpHandler
 {
 public:
-  /// @param aDelay  that every call takes
+  /// @param aDelay  duration of each call
   explicit ServiceStandin(state::Millis aDelay);
 
   transport::Task<void> Handle(transport::HttpExchange& aExchange) override;
--- a/standins/standin_main.cpp
+++ b/standins/standin_main.cpp
@@ -1,4 +1,4 @@
-// shuntstandin: runs one stand-in of an outside system as a process.
+// shuntstandin: runs a stand-in of an external system as a process.
 
 #include <iostream>
 
@@ -15,27 +15,28 @@
 
 using namespace shuntjunction;
 
-/// A handler and the address it is served at.
-struct Door
+/// A handler and the address it listens on.
+struct Listener
 {
-  std::string mName; ///< of the address in the line that is printed
+  std::string mName; ///< key of the bound address in the printed JSON
   transport::HttpHandler* mHandler = nullptr;
   std::string mListen;
 };
 
-/// Serves handlers until a signal comes.
+/// Prints the bound addresses and serves until SIGTERM or SIGINT.
 int
-Serve(boost::asio::io_context& aContext, const std::vector<Door>& aDoors)
+Serve(boost::asio::io_context& aContext,
+      const std::vector<Listener>& aListeners)
 {
   state::LimitSettings limits;
   limits.mMaxBodyBytes = 64L * 1024 * 1024;
   limits.mMaxConnections = 100000;
   std::vector<std::unique_ptr<transport::HttpServer>> servers;
   boost::json::object addresses;
-  for (const auto& door : aDoors) {
+  for (const auto& listener : aListeners) {
     servers.push_back(std::make_unique<transport::HttpServer>(
-      aContext, limits, *door.mHandler));
-    const auto address = state::ParseAddress(door.mListen);
+      aContext, limits, *listener.mHandler));
+    const auto address = state::ParseAddress(listener.mListen);
     const auto bound =
       address ? servers.back()->Start(*address)
               : state::Result<state::Address>(tl::unexpected(address.error()));
@@ -43,7 +44,7 @@
       std::cerr << bound.error().Describe() << "\n";
       return 1;
     }
-    addresses[door.mName] = bound->Text();
+    addresses[listener.mName] = bound->Text();
   }
   std::cout << boost::json::serialize(addresses) << std::endl;
   boost::asio::signal_set signals(aContext, SIGTERM, SIGINT);
@@ -76,7 +77,7 @@
 int
 main(int aCount, char** aArguments)
 {
-  CLI::App app("A stand-in of a system that shuntjunction meets.");
+  CLI::App app("Stand-ins of the systems that shuntjunction talks to.");
   std::string listen = "127.0.0.1:0";
   std::uint64_t seed = 1;
   std::int64_t delayMs = 10;
@@ -84,18 +85,18 @@
   app.require_subcommand(1);
   app.add_option("--listen", listen, "address to listen on");
   auto* platform = app.add_subcommand("platform", "the object API");
-  platform->add_option("--seed", seed, "of the faults");
+  platform->add_option("--seed", seed, "seed of the injected faults");
   auto* service = app.add_subcommand("service", "a plain service");
-  service->add_option("--delay-ms", delayMs, "that a call takes");
+  service->add_option("--delay-ms", delayMs, "duration of a call");
   AddEngineOptions(*app.add_subcommand("engine", "a model engine"), engine);
   CLI11_PARSE(app, aCount, aArguments);
   boost::asio::io_context context(1);
   if (*platform) {
     standins::PlatformStandin standin(seed);
-    standins::FarDoor far(standin);
-    return Serve(
-      context,
-      { { "traffic", &standin, listen }, { "far", &far, "127.0.0.1:0" } });
+    standins::SecondaryAddress secondary(standin);
+    return Serve(context,
+                 { { "traffic", &standin, listen },
+                   { "far", &secondary, "127.0.0.1:0" } });
   }
   if (*service) {
     standins::ServiceStandin standin{ state::Millis(delayMs) };
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,5 +1,6 @@
-// The story of a configuration across the fleet: in force everywhere, never
-// back, racing operators told, new weights without a cut stream.
+// Configuration across the fleet: a change reaches every process, an older
+// version never replaces a newer one, concurrent operators get a conflict, and
+// new weights interrupt no stream.
 
 #include <csignal>
 #include <thread>
@@ -53,7 +54,7 @@
   }
 };
 
-TEST_F(GivenOperators, AnAppliedTemplateIsInForceEverywhere)
+TEST_F(GivenOperators, AnAppliedTemplateIsActiveEverywhere)
 {
   const auto file = File("template.json", R"({
     // The morning's first dialysis slot.
@@ -73,13 +74,13 @@
     << applied.mOutput;
   auto call = Call(0);
   call.mFields = { { "x-template", "dialysis-slot" } };
-  ExpectAllWhole(MakeCalls({ call }));
+  ExpectAllComplete(MakeCalls({ call }));
   const auto shown =
     RunShuntctl("get " + Platform() + "templates --output json");
   EXPECT_NE(shown.mOutput.find("dialysis-slot"), std::string::npos);
 }
 
-TEST_F(GivenOperators, BadInputIsRefusedBeforeItIsWritten)
+TEST_F(GivenOperators, InvalidInputIsRefusedBeforeItIsWritten)
 {
   const auto bad =
     RunShuntctl("apply " + Platform() +
@@ -91,7 +92,7 @@
   EXPECT_EQ(RunShuntctl("delete " + Platform() + "models/m").mCode, 5);
 }
 
-TEST_F(GivenOperators, RacingOperatorsGetAConflictThatNamesBothVersions)
+TEST_F(GivenOperators, ConcurrentOperatorsGetAConflictThatNamesBothVersions)
 {
   const auto file = File("m.json", R"({"models/m":{"weights":2}})");
   EXPECT_EQ(
@@ -108,7 +109,7 @@
 TEST_F(GivenOperators, ExplainSaysWhichEndpointAndWhy)
 {
   const auto body = File("call.json", ChatBody(Call(0)));
-  ExpectAllWhole(MakeCalls({ Call(0) }));
+  ExpectAllComplete(MakeCalls({ Call(0) }));
   const auto shown = RunShuntctl(
     "explain --admin " + mFleet.Process("router-1").mAdmin + " --secret '" +
     FleetSettings().mSecret + "' --team north " + body);
@@ -152,7 +153,7 @@
   void SetUp() override
   {
     GivenOperators::SetUp();
-    // One of three companions' zones each.
+    // One watcher in each of the three zones.
     for (int i = 0; i < 1000 && Watching().size() != 3; ++i) {
       std::this_thread::sleep_for(Millis(20));
     }
@@ -170,14 +171,14 @@
     return watching;
   }
 
-  /// Changes the configuration and waits for it on both routers.
-  void ExpectAChangeOnTheRouters()
+  /// Applies a configuration change and waits until both routers use it.
+  void ExpectChangeOnRouters()
   {
     mFleet.Apply("config/models/late", R"({"weights":5})");
     const auto hasLate = [&](const std::string& aRouter) {
       transport::HttpRequest models;
       models.mTarget = "/v1/models";
-      return Ask(aRouter, models).mBody.find("\"late\"") != std::string::npos;
+      return Send(aRouter, models).mBody.find("\"late\"") != std::string::npos;
     };
     for (const std::string router : { "router-1", "router-2" }) {
       for (int i = 0; i < 1000 && !hasLate(router); ++i) {
@@ -188,9 +189,9 @@
   }
 };
 
-TEST_F(WithOneWatcherAZone, AChangeReachesThoseWhoDoNotWatch)
+TEST_F(WithOneWatcherAZone, AChangeReachesProcessesThatDoNotWatch)
 {
-  ExpectAChangeOnTheRouters();
+  ExpectChangeOnRouters();
 }
 
 TEST_F(WithOneWatcherAZone, AChangeArrivesThoughAllWatchersAreKilled)
@@ -198,7 +199,7 @@
   for (const auto& watcher : Watching()) {
     mFleet.Kill(watcher);
   }
-  ExpectAChangeOnTheRouters();
+  ExpectChangeOnRouters();
 }
 
 TEST_F(WithOneWatcherAZone, AChangeArrivesThoughAllWatchersAreFrozen)
@@ -206,10 +207,10 @@
   for (const auto& watcher : Watching()) {
     mFleet.Signal(watcher, SIGSTOP);
   }
-  ExpectAChangeOnTheRouters();
+  ExpectChangeOnRouters();
 }
 
-TEST_F(WithOneWatcherAZone, AnInstanceThatIsListedLaterIsHeardOf)
+TEST_F(WithOneWatcherAZone, AnInstanceRegisteredLaterIsFound)
 {
   mFleet.Apply("config/endpoints/endpoint-4", R"({"model":"crew-notes"})");
   mFleet.StartEngine("engine-4", EngineOptions());
@@ -217,21 +218,22 @@
   const auto usable = [&] {
     return mFleet.Metric("router-1", "shuntjunction_endpoint_usable");
   };
-  constexpr double kAll = 6; // Four before engines, two before the service.
+  constexpr double kAll = 6; // Four for engines, two for the service.
   for (int i = 0; i < 1000 && usable() < kAll; ++i) {
     std::this_thread::sleep_for(Millis(20));
   }
   EXPECT_EQ(usable(), kAll);
 }
 
-class WhenThePlatformLies : public GivenOperators
+class WhenThePlatformServesOldState : public GivenOperators
 {
 protected:
-  /// Waits until every process has said that a version is in force, so that
-  /// nobody writes to the platform any more.
+  /// Waits until every process has reported that it uses a version, after which
+  /// none writes to the platform.
   void AwaitStatuses(std::uint64_t aVersion)
   {
-    const std::string said = "\"version\":" + std::to_string(aVersion) + ",";
+    const std::string versionField =
+      "\"version\":" + std::to_string(aVersion) + ",";
     transport::HttpRequest list;
     list.mTarget = "/v1/objects?prefix=status/";
     for (int i = 0; i < 1000; ++i) {
@@ -240,18 +242,18 @@
       std::size_t count = 0;
       for (const auto& item : value->as_object().at("objects").as_array()) {
         const std::string text(item.as_object().at("value").as_string());
-        count += text.find(said) != std::string::npos ? 1 : 0;
+        count += text.find(versionField) != std::string::npos ? 1 : 0;
       }
       if (count == kEndpoints + 4) {
         return;
       }
       std::this_thread::sleep_for(Millis(10));
     }
-    FAIL() << "not every process reported";
+    FAIL() << "not every process reported the version";
   }
 };
 
-TEST_F(WhenThePlatformLies, StaleListsAreNotFollowed)
+TEST_F(WhenThePlatformServesOldState, StaleListsAreIgnored)
 {
   mFleet.Apply("config/models/late", R"({"weights":5})");
   const std::uint64_t newest = VersionOf("router-1");
@@ -260,14 +262,14 @@
   mFleet.RestartRouter("router-1", "zone-1");
   mFleet.AwaitReady("router-1");
   {
-    SCOPED_TRACE("the restarted router hears of the newer one from peers");
-    ExpectAllWhole(MakeCalls(Calls(6)));
+    SCOPED_TRACE("the restarted router gets the newer version from peers");
+    ExpectAllComplete(MakeCalls(Calls(6)));
     EXPECT_TRUE(AwaitVersion("router-1", newest));
   }
   EXPECT_GE(VersionOf("router-2"), newest);
 }
 
-TEST_F(WhenThePlatformLies, ARestoredStoreIsFollowedOnlyWhenAdopted)
+TEST_F(WhenThePlatformServesOldState, ARestoredStoreIsUsedOnlyWhenAdopted)
 {
   mFleet.Apply("config/models/late", R"({"weights":5})");
   transport::HttpRequest get;
@@ -286,12 +288,12 @@
   std::this_thread::sleep_for(Millis(300));
   EXPECT_EQ(VersionOf("router-1"), revision);
   {
-    SCOPED_TRACE("adopted, it comes into force");
+    SCOPED_TRACE("it is used once it is adopted");
     EXPECT_EQ(RunShuntctl("adopt " + Platform()).mCode, 0);
     transport::HttpRequest models;
     models.mTarget = "/v1/models";
     const auto hasLate = [&] {
-      return Ask("router-1", models).mBody.find("\"late\"") !=
+      return Send("router-1", models).mBody.find("\"late\"") !=
              std::string::npos;
     };
     for (int i = 0; i < 1000 && hasLate(); ++i) {
@@ -301,23 +303,24 @@
   }
 }
 
-TEST_F(WhenThePlatformLies, ABadObjectLeavesTheLastGoodOneInForce)
+TEST_F(WhenThePlatformServesOldState,
+       AnInvalidObjectLeavesTheLastValidOneActive)
 {
   mFleet.Apply("config/models/crew-notes", R"({"weights":"many"})");
   std::this_thread::sleep_for(Millis(300));
-  ExpectAllWhole(MakeCalls(Calls(6)));
+  ExpectAllComplete(MakeCalls(Calls(6)));
 }
 
 class WhenWeightsChange : public GivenOperators
 {};
 
-TEST_F(WhenWeightsChange, StreamsStayWholeAndOfOneVersion)
+TEST_F(WhenWeightsChange, StreamsAreCompleteAndOfOneVersion)
 {
   auto calls = Calls(18);
-  std::vector<CallerOutcome> outcomes = MakeCalls(calls, Millis(200), [&] {
+  std::vector<CallOutcome> outcomes = MakeCalls(calls, Millis(200), [&] {
     mFleet.Apply("config/models/crew-notes", R"({"weights":2})");
   });
-  ExpectAllWhole(outcomes);
+  ExpectAllComplete(outcomes);
   const auto loaded = [&](const std::string& aEngine) {
     transport::HttpRequest request;
     request.mTarget = "/engine/state";
@@ -334,7 +337,7 @@
   for (auto& call : calls) {
     call.mWeights = 2;
   }
-  ExpectAllWhole(MakeCalls(calls));
+  ExpectAllComplete(MakeCalls(calls));
 }
 
 } // namespace
--- a/tests/given_a_booking.h
+++ b/tests/given_a_booking.h
@@ -7,10 +7,10 @@
 #include "given_a_fleet.h"
 #include "shuntjunction/state/json_reader.h"
 
-/// What the tests of requests that must run at most once begin with.
+/// Fixture for requests that must run at most once.
 namespace shuntjunction::standins {
 
-/// A fleet with a service that books, and counts its runs by key.
+/// A fleet whose service counts the runs of a booking by idempotency key.
 class GivenABooking : public GivenAFleet
 {
 protected:
@@ -29,7 +29,7 @@
     return request;
   }
 
-  std::int64_t Runs(const std::string& aKey)
+  std::int64_t CountRuns(const std::string& aKey)
   {
     transport::HttpRequest audit;
     audit.mTarget = "/audit";
@@ -39,12 +39,12 @@
     return runs == nullptr ? 0 : runs->as_int64();
   }
 
-  /// Asks until the outcome was recorded.
-  transport::HttpResponse AskUntilReplayed(const std::string& aKey)
+  /// Repeats the request until router-2 returns the recorded outcome.
+  transport::HttpResponse SendUntilReplayed(const std::string& aKey)
   {
     transport::HttpResponse answer;
     for (int i = 0; i < 200; ++i) {
-      answer = Ask("router-2", Booking(aKey));
+      answer = Send("router-2", Booking(aKey));
       if (answer.mStatus == 200) {
         break;
       }
--- a/tests/given_a_fleet.h
+++ b/tests/given_a_fleet.h
@@ -10,10 +10,11 @@
 #include "caller.h"
 #include "fleet.h"
 
-/// The fleet that the process tests begin with.
+/// Fixture of the process tests.
 namespace shuntjunction::standins {
 
-/// Two routers, three endpoints of one model, a plain service, two teams.
+/// Two routers, three endpoints of one model, a service with two companions and
+/// two teams.
 class GivenAFleet : public ::testing::Test
 {
 protected:
@@ -64,7 +65,7 @@
       mFleet.StartCompanion(
         "endpoint-" + number, "engine-" + number, "zone-" + number);
     }
-    // Two companions before one service: either may take a call.
+    // Two companions for one service: either may forward a call.
     mFleet.StartService("service", 100);
     mFleet.StartCompanion("booking-1", "service", "zone-1", false);
     mFleet.StartCompanion("booking-2", "service", "zone-2", false);
@@ -81,10 +82,10 @@
     return { "--micros-per-token", "10000" };
   }
 
-  /// A call with a long shared prompt.
-  CallerCall Call(std::size_t aNumber, const std::string& aTeam = "north")
+  /// A call whose prompt begins with a long shared text.
+  ModelCall Call(std::size_t aNumber, const std::string& aTeam = "north")
   {
-    CallerCall call;
+    ModelCall call;
     call.mRouter =
       mFleet.Process(aNumber % 2 == 0 ? "router-1" : "router-2").mTraffic;
     call.mKey = aTeam + "-key";
@@ -97,30 +98,31 @@
     return call;
   }
 
-  std::vector<CallerCall> Calls(std::size_t aCount)
+  std::vector<ModelCall> Calls(std::size_t aCount)
   {
-    std::vector<CallerCall> calls;
+    std::vector<ModelCall> calls;
     for (std::size_t i = 0; i < aCount; ++i) {
       calls.push_back(Call(i, i % 3 == 0 ? "south" : "north"));
     }
     return calls;
   }
 
-  static void ExpectAllWhole(const std::vector<CallerOutcome>& aOutcomes)
+  static void ExpectAllComplete(const std::vector<CallOutcome>& aOutcomes)
   {
     for (std::size_t i = 0; i < aOutcomes.size(); ++i) {
-      EXPECT_EQ(aOutcomes[i].mEnd, CallerEnd::kWhole)
-        << "call " << i << " ended " << kCallerEndNames.Name(aOutcomes[i].mEnd)
+      EXPECT_EQ(aOutcomes[i].mEnd, CallEnd::kComplete)
+        << "call " << i << " ended " << kCallEndNames.Name(aOutcomes[i].mEnd)
         << " with status " << aOutcomes[i].mStatus << ": "
         << aOutcomes[i].mBody;
     }
   }
 
-  /// One HTTP call to a router with a team's key.
-  transport::HttpResponse Ask(const std::string& aRouter,
-                              transport::HttpRequest aRequest,
-                              const std::string& aKey = "north-key",
-                              std::int64_t aTimeoutMs = 20000)
+  /// Sends an HTTP request with a team's key to a router. Without a response,
+  /// returns status 0 and the error text.
+  transport::HttpResponse Send(const std::string& aRouter,
+                               transport::HttpRequest aRequest,
+                               const std::string& aKey = "north-key",
+                               std::int64_t aTimeoutMs = 20000)
   {
     aRequest.mFields.push_back({ "authorization", "Bearer " + aKey });
     const auto answer =
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -1,5 +1,6 @@
-// The story of orders to engines: an instance is replaced while its companion
-// is only paused, so that two companions believe they may order one engine.
+// Orders to engines: an instance is replaced while its companion is only
+// paused, so that two companions send orders to one engine. The newest order
+// must win.
 
 #include <csignal>
 #include <thread>
@@ -17,7 +18,7 @@
 class GivenAReplacedInstance : public GivenAFleet
 {
 protected:
-  /// The platform takes endpoint-1 for lost; it was only paused.
+  /// Replaces endpoint-1, whose companion is paused, as if it were lost.
   void Replace(const std::string& aPaused)
   {
     mFleet.Signal("endpoint-1", SIGSTOP);
@@ -54,18 +55,19 @@
     }
   }
 
-  void ExpectWholeAnswersOf(std::uint32_t aWeights)
+  void ExpectCompleteAnswersOf(std::uint32_t aWeights)
   {
     auto calls = Calls(12);
     for (auto& call : calls) {
       call.mWeights = aWeights;
       call.mTokens = 20;
     }
-    ExpectAllWhole(MakeCalls(calls));
+    ExpectAllComplete(MakeCalls(calls));
   }
 
-  /// Both companions hear of the newest weights, each in its own state.
-  void ExpectTheNewestToStay()
+  /// Both companions get the newest weights, the paused one after its
+  /// replacement ordered older ones.
+  void ExpectNewestWeightsStay()
   {
     OrderWeights(2);
     Replace("paused");
@@ -73,20 +75,20 @@
     mFleet.Signal("paused", SIGCONT);
     OrderWeights(3);
     ExpectAllLoad(3);
-    ExpectWholeAnswersOf(3);
+    ExpectCompleteAnswersOf(3);
     EXPECT_EQ(Audit("engine-1", "weights"), 3U);
   }
 };
 
-class OnEnginesThatCheckNumbers : public GivenAReplacedInstance
+class OnEnginesThatCheckFences : public GivenAReplacedInstance
 {};
 
-TEST_F(OnEnginesThatCheckNumbers, TheNewestWeightsStay)
+TEST_F(OnEnginesThatCheckFences, TheNewestWeightsStay)
 {
-  ExpectTheNewestToStay();
+  ExpectNewestWeightsStay();
 }
 
-TEST_F(OnEnginesThatCheckNumbers, APauseInTheMidstOfAnOrderDoesNoHarm)
+TEST_F(OnEnginesThatCheckFences, APauseDuringAnOrderIsHarmless)
 {
   mFleet.SetFaults(R"({"slowMs":60})");
   for (const int pauseAfter : { 400, 700 }) {
@@ -101,19 +103,19 @@
     ExpectAllLoad(3);
     mFleet.Kill(paused);
   }
-  ExpectWholeAnswersOf(3);
+  ExpectCompleteAnswersOf(3);
 }
 
-TEST_F(OnEnginesThatCheckNumbers, AWeightStoreWithALimitServesAllInTheEnd)
+TEST_F(OnEnginesThatCheckFences, ARateLimitedWeightStoreEventuallyServesAll)
 {
   mFleet.SetFaults(R"({"weightsPerSecond":1})");
   auto outcomes = MakeCalls(Calls(18), Millis(200), [&] { OrderWeights(2); });
-  ExpectAllWhole(outcomes);
+  ExpectAllComplete(outcomes);
   ExpectAllLoad(2);
-  ExpectWholeAnswersOf(2);
+  ExpectCompleteAnswersOf(2);
 }
 
-class OnEnginesThatIgnoreNumbers : public GivenAReplacedInstance
+class OnEnginesThatIgnoreFences : public GivenAReplacedInstance
 {
 protected:
   std::vector<std::string> EngineOptions() override
@@ -122,9 +124,9 @@
   }
 };
 
-TEST_F(OnEnginesThatIgnoreNumbers, TheNewestWeightsStay)
+TEST_F(OnEnginesThatIgnoreFences, TheNewestWeightsStay)
 {
-  ExpectTheNewestToStay();
+  ExpectNewestWeightsStay();
 }
 
 } // namespace
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,5 @@
-// The story of too much work: a large team beside a small one, urgent work
-// beside ordinary, and engines that fail half of what they get.
+// Overload: a large team next to a small one, urgent requests next to ordinary
+// ones, and engines that fail half of their requests.
 
 #include <algorithm>
 #include <csignal>
@@ -25,10 +25,10 @@
     return settings;
   }
 
-  /// Calls of a team that all ask for different prompts.
-  std::vector<CallerCall> CallsOf(const std::string& aTeam, std::size_t aCount)
+  /// Calls of a team, each with a different prompt.
+  std::vector<ModelCall> CallsOf(const std::string& aTeam, std::size_t aCount)
   {
-    std::vector<CallerCall> calls;
+    std::vector<ModelCall> calls;
     for (std::size_t i = 0; i < aCount; ++i) {
       calls.push_back(Call(i, aTeam));
       calls.back().mTokens = 10;
@@ -36,10 +36,10 @@
     return calls;
   }
 
-  /// The longest time to the first token from one call to before another.
-  static double Longest(const std::vector<CallerOutcome>& aOutcomes,
-                        std::size_t aFrom,
-                        std::size_t aTo)
+  /// Longest time to first token of the calls in [aFrom, aTo).
+  static double MaxTimeToFirstToken(const std::vector<CallOutcome>& aOutcomes,
+                                    std::size_t aFrom,
+                                    std::size_t aTo)
   {
     double longest = 0;
     for (std::size_t i = aFrom; i < aTo; ++i) {
@@ -49,16 +49,16 @@
   }
 };
 
-/// Many calls and, behind them, a few of another team or class.
-class WithACrowd : public WithFewSlots
+/// Many calls, followed by a few of another team or priority.
+class WithManyCalls : public WithFewSlots
 {
 protected:
   static constexpr std::size_t kMany = 120;
   static constexpr std::size_t kFew = 12;
 
-  /// Longest time to a first token of the few, as a share of the many's.
-  double TailOfTheFew(const std::string& aFewTeam,
-                      const std::string& aFewPriority)
+  /// Longest time to first token of the few calls relative to the many.
+  double LatencyRatioOfTheFew(const std::string& aFewTeam,
+                              const std::string& aFewPriority)
   {
     auto calls = CallsOf("north", kMany);
     const auto few = CallsOf(aFewTeam, kFew);
@@ -67,47 +67,47 @@
       calls[i].mFields = { { "priority", i < kMany ? "u=5" : aFewPriority } };
     }
     const auto outcomes = MakeCalls(calls);
-    ExpectAllWhole(outcomes);
-    const double share =
-      Longest(outcomes, kMany, calls.size()) / Longest(outcomes, 0, kMany);
+    ExpectAllComplete(outcomes);
+    const double share = MaxTimeToFirstToken(outcomes, kMany, calls.size()) /
+                         MaxTimeToFirstToken(outcomes, 0, kMany);
     RecordProperty("share", std::to_string(share));
     return share;
   }
 };
 
-TEST_F(WithACrowd, ATeamAtTenTimesAnothersShareDoesNotMoveItsTail)
+TEST_F(WithManyCalls, ATeamAtTenTimesAnothersShareDoesNotDelayIt)
 {
-  EXPECT_LT(TailOfTheFew("south", "u=5"), 0.5);
+  EXPECT_LT(LatencyRatioOfTheFew("south", "u=5"), 0.5);
 }
 
-TEST_F(WithACrowd, UrgentWorkPassesOrdinary)
+TEST_F(WithManyCalls, UrgentCallsOvertakeOrdinaryOnes)
 {
-  EXPECT_LT(TailOfTheFew("north", "u=0"), 0.5);
+  EXPECT_LT(LatencyRatioOfTheFew("north", "u=0"), 0.5);
 }
 
-/// One endpoint and one queue: where the few are placed decides nothing.
-class AtTheOnlyEndpoint : public WithACrowd
+/// With one endpoint and one queue, the choice of the endpoint has no effect.
+class AtTheOnlyEndpoint : public WithManyCalls
 {
 protected:
   void SetUp() override
   {
-    WithACrowd::SetUp();
+    WithManyCalls::SetUp();
     for (const std::string name : { "endpoint-2", "endpoint-3" }) {
       mFleet.Signal(name, SIGTERM);
       mFleet.WaitForExit(name);
-      mFleet.Unlist(name);
+      mFleet.Deregister(name);
     }
   }
 };
 
-TEST_F(AtTheOnlyEndpoint, WithoutTeamsAndClassesTheFewWaitBehindTheMany)
+TEST_F(AtTheOnlyEndpoint, WithoutTeamsAndPrioritiesTheFewWaitBehindTheMany)
 {
-  EXPECT_GT(TailOfTheFew("north", "u=5"), 0.5);
+  EXPECT_GT(LatencyRatioOfTheFew("north", "u=5"), 0.5);
 }
 
-TEST_F(AtTheOnlyEndpoint, UrgentWorkPassesOrdinary)
+TEST_F(AtTheOnlyEndpoint, UrgentCallsOvertakeOrdinaryOnes)
 {
-  EXPECT_LT(TailOfTheFew("north", "u=0"), 0.5);
+  EXPECT_LT(LatencyRatioOfTheFew("north", "u=0"), 0.5);
 }
 
 class WithEnginesThatFailHalf : public GivenAFleet
@@ -121,7 +121,7 @@
   static FleetSettings Retrying(const std::string& aRatio)
   {
     auto settings = Settings();
-    // Nobody is ejected: what bounds the retries is the budget alone.
+    // No endpoint is ejected, so that only the budget bounds the retries.
     settings.mRouterExtra =
       R"({"defaultDeadlineMs":20000,"maxEjectedShare":0,"retryRatio":)" +
       aRatio + "}";
@@ -134,33 +134,34 @@
   }
 
   static constexpr std::size_t kWaves = 30;
-  static constexpr std::size_t kCallsAWave = 20;
+  static constexpr std::size_t kCallsPerWave = 20;
 
-  /// Retries for each call, beyond what the routers had saved up.
+  /// Retries per call, less those that the routers' saved budgets allow.
   double RetriesPerCall()
   {
-    auto calls = Calls(kCallsAWave);
+    auto calls = Calls(kCallsPerWave);
     for (auto& call : calls) {
       call.mTokens = 1;
     }
     for (std::size_t wave = 0; wave < kWaves; ++wave) {
       for (const auto& outcome : MakeCalls(calls)) {
-        EXPECT_NE(outcome.mEnd, CallerEnd::kWrong);
-        EXPECT_NE(outcome.mEnd, CallerEnd::kBroken);
+        EXPECT_NE(outcome.mEnd, CallEnd::kWrong);
+        EXPECT_NE(outcome.mEnd, CallEnd::kIncomplete);
       }
     }
     const double retries =
       mFleet.Metric("router-1", "shuntjunction_retries_total") +
       mFleet.Metric("router-2", "shuntjunction_retries_total");
     RecordProperty("retries", static_cast<int>(retries));
-    constexpr double kSavedUp = 2 * state::RetryBudgetSettings().mMax;
-    return (retries - kSavedUp) / static_cast<double>(kWaves * kCallsAWave);
+    constexpr double kSavedRetries = 2 * state::RetryBudgetSettings().mMax;
+    return (retries - kSavedRetries) /
+           static_cast<double>(kWaves * kCallsPerWave);
   }
 };
 
 TEST_F(WithEnginesThatFailHalf, TheBudgetBoundsTheRetries)
 {
-  // Half would be retried once, a quarter twice.
+  // Without a budget, half would be retried once and a quarter twice.
   EXPECT_LT(RetriesPerCall(), 0.4);
 }
 
--- a/tests/shuntctl_run.h
+++ b/tests/shuntctl_run.h
@@ -6,17 +6,17 @@
 
 #include <sys/wait.h>
 
-/// The operators' client, run as they would.
+/// Runs shuntctl, the operators' command line client.
 namespace shuntjunction::standins {
 
-/// What a command printed, errors too, and its exit code.
+/// Exit code and combined standard output and error of a command.
 struct ShuntctlResult
 {
   int mCode = 0;
   std::string mOutput;
 };
 
-/// Runs shuntctl with arguments as a shell takes them; waits for its end.
+/// Runs shuntctl with shell-quoted arguments and waits for it.
 inline ShuntctlResult
 RunShuntctl(const std::string& aArguments)
 {
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -1,5 +1,6 @@
-// The story of planned stops and of herds: nothing is cut, nothing new goes to
-// who leaves, and who restarts serves at once, the platform down included.
+// Planned stops and simultaneous restarts: no stream is interrupted, a draining
+// endpoint gets no new requests, and restarted routers serve at once, even
+// while the platform is down.
 
 #include <algorithm>
 #include <csignal>
@@ -11,20 +12,20 @@
 
 using state::Millis;
 
-constexpr Millis kHalfWay{ 250 };
+constexpr Millis kFaultDelay{ 250 };
 constexpr std::size_t kStreams = 18;
 
 class WhenAProcessStops : public GivenAFleet
 {};
 
-TEST_F(WhenAProcessStops, ARouterStopsAndCutsNone)
+TEST_F(WhenAProcessStops, ARouterStopsWithoutCuttingStreams)
 {
-  ExpectAllWhole(MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("router-1", SIGTERM); }));
+  ExpectAllComplete(MakeCalls(
+    Calls(kStreams), kFaultDelay, [&] { mFleet.Signal("router-1", SIGTERM); }));
   EXPECT_EQ(mFleet.WaitForExit("router-1"), 0);
 }
 
-TEST_F(WhenAProcessStops, ARouterTakesRequestsUntilItsBalancerKnows)
+TEST_F(WhenAProcessStops, ARouterAcceptsRequestsDuringItsStopNotice)
 {
   mFleet.Signal("router-1", SIGTERM);
   transport::HttpRequest ready;
@@ -38,15 +39,16 @@
   }
   auto call = Call(0);
   call.mRouter = mFleet.Process("router-1").mTraffic;
-  call.mTokens = 100; // Longer than the notice: it is cut by neither.
-  ExpectAllWhole(MakeCalls({ call }));
+  call.mTokens = 100; // Outlasts the stop notice, and is not cut.
+  ExpectAllComplete(MakeCalls({ call }));
   EXPECT_EQ(mFleet.WaitForExit("router-1"), 0);
 }
 
-TEST_F(WhenAProcessStops, ACompanionStopsAndCutsNone)
+TEST_F(WhenAProcessStops, ACompanionStopsWithoutCuttingStreams)
 {
-  ExpectAllWhole(MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("endpoint-2", SIGTERM); }));
+  ExpectAllComplete(MakeCalls(Calls(kStreams), kFaultDelay, [&] {
+    mFleet.Signal("endpoint-2", SIGTERM);
+  }));
   EXPECT_EQ(mFleet.WaitForExit("endpoint-2"), 0);
 }
 
@@ -69,33 +71,34 @@
 TEST_F(WithoutTimeToDrain, ARouterThatStopsCutsItsStreams)
 {
   const auto outcomes = MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("router-1", SIGTERM); });
+    Calls(kStreams), kFaultDelay, [&] { mFleet.Signal("router-1", SIGTERM); });
   const auto cut =
     std::count_if(outcomes.begin(), outcomes.end(), [](const auto& aOutcome) {
-      return aOutcome.mEnd != CallerEnd::kWhole;
+      return aOutcome.mEnd != CallEnd::kComplete;
     });
   EXPECT_GT(cut, 0);
 }
 
-TEST_F(WhenAProcessStops, AnEndpointThatLeavesGetsNothingNew)
+TEST_F(WhenAProcessStops, ADrainedEndpointGetsNoNewRequests)
 {
-  MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("endpoint-2", SIGTERM); });
+  MakeCalls(Calls(kStreams), kFaultDelay, [&] {
+    mFleet.Signal("endpoint-2", SIGTERM);
+  });
   mFleet.WaitForExit("endpoint-2");
-  // The platform's list still calls it live, and its engine still runs.
+  // The platform still lists it as live, and its engine still runs.
   const auto executed = [&] {
     transport::HttpRequest audit;
     audit.mTarget = "/engine/audit";
     return Fleet::Call(mFleet.Process("engine-2").mTraffic, audit)->mBody;
   };
   const std::string before = executed();
-  ExpectAllWhole(MakeCalls(Calls(kStreams)));
+  ExpectAllComplete(MakeCalls(Calls(kStreams)));
   EXPECT_EQ(executed(), before);
 }
 
-TEST_F(WhenAProcessStops, TheListAloneTakesAnEndpointOut)
+TEST_F(WhenAProcessStops, TheListAloneExcludesAnEndpoint)
 {
-  mFleet.List("endpoint-2", "companion", "zone-2", true);
+  mFleet.Register("endpoint-2", "companion", "zone-2", true);
   const auto usable = [&] {
     return mFleet.Metric("router-1", "shuntjunction_endpoint_usable");
   };
@@ -103,47 +106,47 @@
   while (usable() > 4 && polls < 500) {
     ++polls;
   }
-  EXPECT_EQ(usable(), 4); // Two engines and both service companions.
-  ExpectAllWhole(MakeCalls(Calls(kStreams)));
+  EXPECT_EQ(usable(), 4); // Two engines and both companions of the service.
+  ExpectAllComplete(MakeCalls(Calls(kStreams)));
 }
 
-TEST_F(WhenAProcessStops, EverythingStopsInTurnAndNoneIsCut)
+TEST_F(WhenAProcessStops, SeveralProcessesStopWithoutCuttingStreams)
 {
-  ExpectAllWhole(MakeCalls(Calls(kStreams), kHalfWay, [&] {
+  ExpectAllComplete(MakeCalls(Calls(kStreams), kFaultDelay, [&] {
     mFleet.Signal("router-1", SIGTERM);
     mFleet.Signal("endpoint-1", SIGTERM);
     mFleet.Signal("endpoint-2", SIGTERM);
   }));
 }
 
-class WhenAHerdRestarts : public GivenAFleet
+class WhenRoutersRestartTogether : public GivenAFleet
 {
 protected:
-  void ExpectServedAtOnce()
+  void ExpectRoutersServeAtOnce()
   {
     mFleet.RestartRouter("router-1", "zone-1");
     mFleet.RestartRouter("router-2", "zone-2");
     mFleet.AwaitReady("router-1");
     mFleet.AwaitReady("router-2");
-    ExpectAllWhole(MakeCalls(Calls(kStreams)));
+    ExpectAllComplete(MakeCalls(Calls(kStreams)));
   }
 };
 
-TEST_F(WhenAHerdRestarts, RoutersServeAtOnce)
+TEST_F(WhenRoutersRestartTogether, RoutersServeAtOnce)
 {
-  ExpectServedAtOnce();
+  ExpectRoutersServeAtOnce();
 }
 
-TEST_F(WhenAHerdRestarts, ThePlatformDownIncluded)
+TEST_F(WhenRoutersRestartTogether, RoutersServeAtOnceWhileThePlatformIsDown)
 {
   mFleet.SetFaults(R"({"down":true})");
-  ExpectServedAtOnce();
+  ExpectRoutersServeAtOnce();
 }
 
-TEST_F(WhenAHerdRestarts, ThePlatformHungIncluded)
+TEST_F(WhenRoutersRestartTogether, RoutersServeAtOnceWhileThePlatformHangs)
 {
   mFleet.SetFaults(R"({"hung":true})");
-  ExpectServedAtOnce();
+  ExpectRoutersServeAtOnce();
 }
 
 } // namespace
--- a/tests/stream_failure_test.cpp
+++ b/tests/stream_failure_test.cpp
@@ -1,5 +1,5 @@
-// The story of streams while processes die, freeze and come back: each arrives
-// whole, once and in order, or says that it did not.
+// Streams while processes die, freeze and come back: every token arrives
+// exactly once and in order, or the stream ends in an explicit error.
 
 #include <csignal>
 
@@ -13,106 +13,107 @@
 
 using state::Millis;
 
-constexpr Millis kHalfWay{ 250 };
+constexpr Millis kFaultDelay{ 250 };
 constexpr std::size_t kStreams = 18;
 
 class WhileStreamsRun : public GivenAFleet
 {};
 
-TEST_F(WhileStreamsRun, WithoutAFaultAllAreWhole)
+TEST_F(WhileStreamsRun, WithoutAFaultAllAreComplete)
 {
-  ExpectAllWhole(MakeCalls(Calls(kStreams)));
+  ExpectAllComplete(MakeCalls(Calls(kStreams)));
 }
 
 TEST_F(WhileStreamsRun, AnEngineIsKilled)
 {
-  ExpectAllWhole(
-    MakeCalls(Calls(kStreams), kHalfWay, [&] { mFleet.Kill("engine-2"); }));
+  ExpectAllComplete(
+    MakeCalls(Calls(kStreams), kFaultDelay, [&] { mFleet.Kill("engine-2"); }));
 }
 
 TEST_F(WhileStreamsRun, ACompanionIsKilled)
 {
-  ExpectAllWhole(
-    MakeCalls(Calls(kStreams), kHalfWay, [&] { mFleet.Kill("endpoint-2"); }));
+  ExpectAllComplete(MakeCalls(
+    Calls(kStreams), kFaultDelay, [&] { mFleet.Kill("endpoint-2"); }));
 }
 
 TEST_F(WhileStreamsRun, TwoEndpointsAreKilledTogether)
 {
-  ExpectAllWhole(MakeCalls(Calls(kStreams), kHalfWay, [&] {
+  ExpectAllComplete(MakeCalls(Calls(kStreams), kFaultDelay, [&] {
     mFleet.Kill("engine-1");
     mFleet.Kill("endpoint-3");
   }));
 }
 
-TEST_F(WhileStreamsRun, ACompanionIsFrozenAndWakesWithLateTokens)
+TEST_F(WhileStreamsRun, ACompanionIsFrozenAndResumesWithLateTokens)
 {
-  const auto outcomes = MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("endpoint-2", SIGSTOP); });
-  ExpectAllWhole(outcomes);
+  const auto outcomes = MakeCalls(Calls(kStreams), kFaultDelay, [&] {
+    mFleet.Signal("endpoint-2", SIGSTOP);
+  });
+  ExpectAllComplete(outcomes);
   mFleet.Signal("endpoint-2", SIGCONT);
   {
-    SCOPED_TRACE("it takes work again");
-    ExpectAllWhole(MakeCalls(Calls(kStreams)));
+    SCOPED_TRACE("it accepts work again");
+    ExpectAllComplete(MakeCalls(Calls(kStreams)));
   }
 }
 
 TEST_F(WhileStreamsRun, AnEngineIsFrozenForALongTime)
 {
   const auto outcomes = MakeCalls(
-    Calls(kStreams), kHalfWay, [&] { mFleet.Signal("engine-2", SIGSTOP); });
-  ExpectAllWhole(outcomes);
+    Calls(kStreams), kFaultDelay, [&] { mFleet.Signal("engine-2", SIGSTOP); });
+  ExpectAllComplete(outcomes);
   mFleet.Signal("engine-2", SIGCONT);
 }
 
-TEST_F(WhileStreamsRun, AnEngineCrashesAndComesBackEmpty)
+TEST_F(WhileStreamsRun, AnEngineRestartsWithAnEmptyCache)
 {
-  ExpectAllWhole(MakeCalls(Calls(kStreams)));
+  ExpectAllComplete(MakeCalls(Calls(kStreams)));
   mFleet.Kill("engine-2");
   mFleet.StartEngine("engine-2", EngineOptions());
   mFleet.AwaitEngines(kModel, kEndpoints);
-  ExpectAllWhole(MakeCalls(Calls(kStreams)));
+  ExpectAllComplete(MakeCalls(Calls(kStreams)));
 }
 
-TEST_F(WhileStreamsRun, AllEndpointsDieAndNoStreamLooksWhole)
+TEST_F(WhileStreamsRun, AllEndpointsDieAndNoStreamLooksComplete)
 {
-  const auto outcomes = MakeCalls(Calls(kStreams), kHalfWay, [&] {
+  const auto outcomes = MakeCalls(Calls(kStreams), kFaultDelay, [&] {
     for (const std::string name : { "engine-1", "engine-2", "engine-3" }) {
       mFleet.Kill(name);
     }
   });
   for (const auto& outcome : outcomes) {
-    EXPECT_NE(outcome.mEnd, CallerEnd::kWhole);
-    EXPECT_NE(outcome.mEnd, CallerEnd::kWrong);
+    EXPECT_NE(outcome.mEnd, CallEnd::kComplete);
+    EXPECT_NE(outcome.mEnd, CallEnd::kWrong);
     if (outcome.mStatus == 200) {
       EXPECT_NE(outcome.mBody.find("\"error\""), std::string::npos)
-        << "a begun stream must end in an explicit error";
+        << "a started stream must end in an explicit error";
     }
   }
 }
 
-TEST_F(WhileStreamsRun, ASlowCallerGetsItsWholeAnswerAndHoldsUpNobody)
+TEST_F(WhileStreamsRun, ASlowCallerGetsACompleteAnswerAndDelaysNobody)
 {
   auto calls = Calls(6);
   calls[0].mReadPause = Millis(100);
   calls[0].mTokens = 400;
   const auto outcomes = MakeCalls(calls);
-  ExpectAllWhole(outcomes);
-  EXPECT_LT(outcomes[1].mWholeTime, outcomes[0].mWholeTime);
+  ExpectAllComplete(outcomes);
+  EXPECT_LT(outcomes[1].mTotalTime, outcomes[0].mTotalTime);
 }
 
-TEST_F(WhileStreamsRun, ACallerThatGoesAwayFreesItsSlot)
+TEST_F(WhileStreamsRun, ADisconnectedCallerFreesItsSlot)
 {
   auto call = Call(0);
   call.mTokens = 100000;
-  call.mTimeout = Millis(300); // It gives up between two reads.
+  call.mTimeout = Millis(300); // It times out between two reads.
   call.mReadPause = Millis(400);
   {
     boost::asio::io_context context(1);
-    const auto run = [](CallerCall aCall) -> transport::Task<void> {
+    const auto run = [](ModelCall aCall) -> transport::Task<void> {
       co_await MakeCall(std::move(aCall));
     };
     transport::Spawn(context, run(call));
-    context.run_for(kHalfWay); // Then the caller and its socket are gone.
+    context.run_for(kFaultDelay); // After that, the caller closes its socket.
   }
   const auto running = [&] {
     double sum = 0;
@@ -141,23 +142,23 @@
 
 TEST_F(WithTwoTeams, ByteIdenticalPromptsAreComputedForEach)
 {
-  std::vector<CallerCall> one{ Call(0, "north") };
-  ExpectAllWhole(MakeCalls(one));
+  std::vector<ModelCall> northCalls{ Call(0, "north") };
+  ExpectAllComplete(MakeCalls(northCalls));
   const double first = Computed();
   EXPECT_GT(first, 10);
   {
-    SCOPED_TRACE("the same team finds its blocks");
-    ExpectAllWhole(MakeCalls(one));
+    SCOPED_TRACE("the same team reuses its blocks");
+    ExpectAllComplete(MakeCalls(northCalls));
     EXPECT_EQ(Computed(), first);
   }
   {
-    SCOPED_TRACE("another team finds nothing");
-    ExpectAllWhole(MakeCalls({ Call(0, "south") }));
+    SCOPED_TRACE("another team reuses none");
+    ExpectAllComplete(MakeCalls({ Call(0, "south") }));
     EXPECT_EQ(Computed(), 2 * first);
   }
 }
 
-TEST_F(WithTwoTeams, WithoutASaltTheEngineWouldShareThem)
+TEST_F(WithTwoTeams, WithoutASaltTheEngineSharesTheBlocks)
 {
   const auto computed = [&] {
     transport::HttpRequest audit;
@@ -168,11 +169,11 @@
   };
   auto call = Call(0, "north");
   call.mRouter = mFleet.Process("engine-1").mTraffic;
-  ExpectAllWhole(MakeCalls({ call }));
+  ExpectAllComplete(MakeCalls({ call }));
   const double first = computed();
   EXPECT_GT(first, 10);
   call.mKey = "south-key";
-  ExpectAllWhole(MakeCalls({ call }));
+  ExpectAllComplete(MakeCalls({ call }));
   EXPECT_EQ(computed(), first);
 }
 
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,4 +1,5 @@
-// The story of a request as its logs tell it.
+// shuntctl trace: from several logs, prints the lines of a request and the
+// latest earlier events of its endpoint and of the platform connection.
 
 #include <fstream>
 
@@ -48,7 +49,8 @@
   }
 };
 
-TEST_F(GivenLogsOfARelayAndACompanion, ARequestsLinesComeWithWhatWasBelieved)
+TEST_F(GivenLogsOfARelayAndACompanion,
+       ARequestsLinesComeWithEarlierEventsOfItsEndpoint)
 {
   const auto [code, output] = Trace("r1");
   EXPECT_EQ(code, 0);
@@ -65,7 +67,7 @@
   EXPECT_EQ(events, expected) << output;
 }
 
-TEST_F(GivenLogsOfARelayAndACompanion, AnUnknownIdIsSaidToBeSo)
+TEST_F(GivenLogsOfARelayAndACompanion, AnUnknownIdIsReported)
 {
   const auto [code, output] = Trace("r7");
   constexpr int kNotFound = 5;
