--- a/packages/state/include/shuntjunction/state/endpoint_chooser.h
+++ b/packages/state/include/shuntjunction/state/endpoint_chooser.h
@@ -16,7 +16,7 @@
 /// Upper limit of the candidates of one choice.
 inline constexpr std::size_t kMaxCandidates = 8;
 
-/// Minimum size of a team's or prefix's group of endpoints.
+/// Minimum width of a team's or prefix's group, its number of endpoints.
 inline constexpr std::size_t kMinGroupWidth = 2;
 
 /// Rendezvous key of a team and the model or service it uses.
@@ -63,14 +63,14 @@
 {
   ChoicePolicy mPolicy = ChoicePolicy::kNestedGroups;
   std::size_t mProbes = 2; ///< endpoints probed for their cost
-  /// Minimum size of a group. If it exceeds mProbes, each request probes a
+  /// Minimum width of a group. If it exceeds mProbes, each request probes a
   /// random subset of its group, so that a prefix ends up computed on all of
   /// its endpoints.
   std::size_t mMinWidth = kMinGroupWidth;
   double mTargetLoad = 0.5;     ///< utilization of an endpoint to plan for
   std::uint32_t mMinBlocks = 4; ///< shorter prompts are placed without probing
   std::string mZone;            ///< this router's, preferred on near ties
-  std::int64_t mZoneCostMicros = 2000; ///< penalty of an endpoint elsewhere
+  std::int64_t mZoneCostMicros = 2000; ///< penalty of another zone
   DemandSettings mDemand;
 };
 
--- a/packages/state/include/shuntjunction/state/first_token.h
+++ b/packages/state/include/shuntjunction/state/first_token.h
@@ -68,9 +68,10 @@
 ///
 /// When more prompt tokens arrive than engines can prefill, first come, first
 /// served makes every request late, and prefilling a late request takes as long
-/// as any other. Requests that are expected to miss their objective are
-/// therefore demoted behind those that can still meet it, and are served with
-/// the capacity that is left.
+/// as prefilling any other. Requests that are expected to miss their objective
+/// are therefore demoted behind those that can still meet it, and are served
+/// with the capacity that is left.
+///
 /// Thread safety: pure.
 int
 EffectiveUrgency(const FirstTokenEstimate& aEstimate,
--- a/packages/state/include/shuntjunction/state/late_requests.h
+++ b/packages/state/include/shuntjunction/state/late_requests.h
@@ -10,9 +10,9 @@
 /// Settings of LateRequests.
 struct LateRequestsSettings
 {
-  /// Longest wait of the oldest late request, as a share of the objective, at
-  /// which another is accepted. Beyond it, requests that are in time use up the
-  /// engine's whole prefill capacity.
+  /// Another late request is accepted until the oldest one has waited for this
+  /// share of the objective. If it has waited longer, requests that are in time
+  /// use up the engine's whole prefill capacity.
   double mMaxWait = 1.0;
   /// The retry delay of a refused caller is extended by a random share of up to
   /// this factor, so that callers don't retry all at once.
--- a/packages/state/include/shuntjunction/state/load_schedule.h
+++ b/packages/state/include/shuntjunction/state/load_schedule.h
@@ -17,8 +17,8 @@
 {
   /// Share of a service's engines that load at a time; at least one does.
   /// Concurrent loads share the bandwidth to the weights: of nine engines, two
-  /// at a time take 0.8 s and three 1.25 s. Larger groups finish no earlier and
-  /// only take more engines out of service.
+  /// at a time take 0.8 s and three 1.25 s. With larger groups, the last engine
+  /// finishes no earlier and more engines are out of service at a time.
   double mMaxLoadingShare = 0.2;
   /// Time from the start of one group's load to that of the next.
   Millis mGroupInterval{ 950 };
--- a/packages/state/include/shuntjunction/state/relay_choice.h
+++ b/packages/state/include/shuntjunction/state/relay_choice.h
@@ -24,7 +24,8 @@
 {
   std::uint64_t mNameHash = 0; ///< PlacementHash of its id
   bool mIsSameZone = false;
-  bool mIsSuspect = false;    ///< failed recently: taken as a last resort
+  /// Failed recently or is silent: taken as a last resort.
+  bool mIsSuspect = false;
   bool mIsLimited = false;    ///< has a rate limit: taken if no other has room
   std::uint64_t mVersion = 0; ///< of the weights; 0 for a plain service
   std::int64_t mRunning = 0;  ///< requests known to be there
@@ -43,9 +44,9 @@
   /// engines prefill for so long without a break that their streams pause; with
   /// a lower one, each part is spread over more engines, which evict it sooner.
   std::int64_t mMaxLeadTokens = 3000;
-  /// Endpoints of a prompt's rendezvous order to consider, at least two: with
-  /// more, it is likelier that one has no prefill queued while many prompts
-  /// arrive at once.
+  /// Endpoints at the front of a prompt's rendezvous order to consider, at
+  /// least two. The more there are, the likelier one of them has no prefill
+  /// queued while many prompts arrive at once.
   std::size_t mPartCandidates = 6;
   /// Prompts with fewer shared tokens are placed by load: a repeated prefill
   /// takes a few milliseconds.
@@ -66,9 +67,11 @@
 /// Chooses by the rendezvous order of a prompt's shared part.
 ///
 /// Prefers the first endpoint of the order, or the second if only that has the
-/// part cached, and takes another of the first mPartCandidates if that is much
-/// less loaded. This protects streams: on an engine that prefills without a
-/// break, each token of a stream waits for a chunk of prefill.
+/// part cached. Takes the least loaded other one of the first mPartCandidates
+/// if only that has a free slot, or if the preferred endpoint has more than
+/// mMaxLeadTokens queued tokens more. This protects streams: on an engine that
+/// prefills without a break, each token of a stream waits for a chunk of
+/// prefill.
 ///
 /// Engines with older weights are not passed over: while a new version is being
 /// loaded, the few that have it cannot take the whole load.
--- a/packages/state/include/shuntjunction/state/request_lifecycle.h
+++ b/packages/state/include/shuntjunction/state/request_lifecycle.h
@@ -40,9 +40,12 @@
 
 /// Lifecycle of one request over all its attempts.
 ///
-///     unsent --offered--> offered --refused--> unsent
-///     offered --started--> running --finished--> complete
-///     offered, running --lost--> uncertain --offered--> offered
+///     unsent, uncertain --offered--> offered
+///     offered --refused--> unsent, or uncertain if it was so before
+///     offered --started--> running
+///     offered, running --lost--> uncertain
+///     offered, running --finished--> complete
+///     offered, running --settled--> settled
 ///
 /// A request that was uncertain once never becomes unsent again: the refusal of
 /// a later attempt does not prove that no earlier one ran.
--- a/packages/state/include/shuntjunction/state/request_types.h
+++ b/packages/state/include/shuntjunction/state/request_types.h
@@ -41,7 +41,7 @@
 /// Why a companion refused a request; no part of it has run.
 enum class RefusalReason : std::uint8_t
 {
-  kQueueFull,    ///< the queue of its class is full
+  kQueueFull,    ///< full queue without a request of a lower class
   kTooLate,      ///< it would miss its deadline
   kLeaving,      ///< the endpoint is leaving
   kWrongModel,   ///< the endpoint serves another model or weights version
--- a/packages/state/include/shuntjunction/state/waiting_tokens.h
+++ b/packages/state/include/shuntjunction/state/waiting_tokens.h
@@ -74,8 +74,8 @@
   bool operator==(const WaitingTokens&) const = default;
 
 private:
-  /// Takes minutes to prefill, which no engine has queued: a higher count is an
-  /// error of the peer.
+  /// An engine takes minutes to prefill this many tokens and never has so many
+  /// queued, so a higher count is an error of the peer.
   static constexpr std::int64_t kMaxTokensPerLevel = 10'000'000;
 
   static int ClampLevel(int aUrgency)
--- a/packages/state/src/chooser_nested_groups.h
+++ b/packages/state/src/chooser_nested_groups.h
@@ -7,7 +7,7 @@
 namespace shuntjunction::state {
 
 /// Chooses from nested rendezvous groups: the team's group, then within it that
-/// of each prompt level. The size of each group follows its demand.
+/// of each prompt level. The width of each group follows its demand.
 class NestedGroupsChooser final : public EndpointChooser
 {
 public:
@@ -27,7 +27,7 @@
                 TimePoint aNow) override;
 
 private:
-  /// Size of a key's group.
+  /// Width of a key's group, its number of endpoints.
   std::size_t Width(std::uint64_t aKey, TimePoint aNow) const;
   std::vector<RendezvousMember> Members(
     std::span<const EndpointHandle> aUsable) const;
--- a/packages/state/src/prefix_chain.cpp
+++ b/packages/state/src/prefix_chain.cpp
@@ -42,8 +42,8 @@
       chain.mBlocks.push_back(parent);
     }
     remainder.erase(0, offset);
-    const bool joined = level + 1 < aLevels.size() && level + 1 >= kMaxLevels;
-    if (offset > 0 && !joined) {
+    const bool isMerged = level + 1 < aLevels.size() && level + 1 >= kMaxLevels;
+    if (offset > 0 && !isMerged) {
       chain.mLevels.push_back(
         { parent, static_cast<std::uint32_t>(chain.mBlocks.size()) });
     }
--- a/packages/state/src/relay_choice.cpp
+++ b/packages/state/src/relay_choice.cpp
@@ -14,8 +14,9 @@
   return aCandidate.mRunning >= aCandidate.mSlots;
 }
 
-/// Indices of the candidates to choose from: those without a rate limit if one
-/// of them has room, else all that did not fail recently, else all.
+/// Indices of the candidates to choose from: the healthy ones without a rate
+/// limit if one of these has room, else all healthy ones, else all. A candidate
+/// is healthy unless mIsSuspect.
 std::vector<std::size_t>
 Allowed(std::span<const RelayCandidate> aCandidates,
         const RelayChoiceSettings& aSettings)
@@ -130,10 +131,10 @@
   const auto& preferredLoad = aCandidates[preferred];
   const auto& alternativeLoad = aCandidates[*alternative];
   const bool isFull = IsFull(preferredLoad) && !IsFull(alternativeLoad);
-  const bool isBehind =
+  const bool hasLongerQueue =
     preferredLoad.mQueuedTokens >
     alternativeLoad.mQueuedTokens + aSettings.mMaxLeadTokens;
-  return isFull || isBehind ? *alternative : preferred;
+  return isFull || hasLongerQueue ? *alternative : preferred;
 }
 
 std::optional<std::size_t>
--- a/packages/state/src/request_lifecycle.cpp
+++ b/packages/state/src/request_lifecycle.cpp
@@ -155,8 +155,8 @@
     case Repeatability::kRepeatable:
       return true;
     case Repeatability::kClaimed:
-      // Before a start the claim may still be free, and it prevents a second
-      // run.
+      // Until a companion has reported a start, the claim may still be free. If
+      // it is not, it prevents a second run.
       return !mMachine->mWasStarted;
     case Repeatability::kUnclaimed:
       return false;
--- a/packages/state/tests/admission_test.cpp
+++ b/packages/state/tests/admission_test.cpp
@@ -46,7 +46,7 @@
   AdmissionQueue mQueue{ { .mSlots = 2, .mMaxQueued = 4 } };
 };
 
-TEST_F(GivenAQueue, SlotsBoundWhatRuns)
+TEST_F(GivenAQueue, NoMoreRequestsRunThanThereAreSlots)
 {
   Enqueue(Ticket(Priority::kOrdinary));
   Enqueue(Ticket(Priority::kOrdinary));
@@ -58,7 +58,7 @@
   EXPECT_EQ(Next(), 3U);
 }
 
-TEST_F(GivenAQueue, UrgentWorkPassesOrdinary)
+TEST_F(GivenAQueue, UrgentRequestsRunBeforeOrdinaryOnes)
 {
   Enqueue(Ticket(Priority::kOrdinary));
   Enqueue(Ticket(Priority::kPriority));
@@ -67,16 +67,16 @@
   EXPECT_EQ(Next(), 2U);
 }
 
-TEST_F(GivenAQueue, ButOrdinaryWorkDoesNotStarve)
+TEST_F(GivenAQueue, ButOrdinaryRequestsDoNotStarve)
 {
   Enqueue(Ticket(Priority::kOrdinary));
-  int turns = 0;
+  int dispatches = 0;
   std::uint64_t admitted = 0;
-  while (admitted != 1 && turns < 20) {
+  while (admitted != 1 && dispatches < 20) {
     Enqueue(Ticket(Priority::kUrgent));
     admitted = Next();
     mQueue.Remove(admitted);
-    ++turns;
+    ++dispatches;
   }
   EXPECT_EQ(admitted, 1U);
 }
@@ -106,7 +106,7 @@
   }
 };
 
-TEST_F(ThatIsFull, OrdinaryWorkIsRefusedAtOnceWithARetryDelay)
+TEST_F(ThatIsFull, AnOrdinaryRequestIsRefusedAtOnceWithARetryDelay)
 {
   const auto refusals = Enqueue(Ticket(Priority::kOrdinary));
   ASSERT_EQ(refusals.size(), 1U);
@@ -115,7 +115,7 @@
   EXPECT_GT(refusals[0].mRetryAfter, Millis(0));
 }
 
-TEST_F(ThatIsFull, UrgentWorkShedsTheNewestOrdinary)
+TEST_F(ThatIsFull, AnUrgentRequestShedsTheNewestOrdinaryOne)
 {
   const auto refusals = Enqueue(Ticket(Priority::kUrgent));
   ASSERT_EQ(refusals.size(), 1U);
@@ -134,7 +134,7 @@
 class WithDeadlines : public GivenAQueue
 {};
 
-TEST_F(WithDeadlines, WhatCannotBeInTimeIsRefusedOnArrival)
+TEST_F(WithDeadlines, ARequestThatWouldMissItsDeadlineIsRefusedOnArrival)
 {
   auto slow = Ticket(Priority::kUrgent);
   slow.mCostMicros = 5000000;
@@ -151,7 +151,7 @@
   }
 }
 
-TEST_F(WithDeadlines, WhatHasWaitedTooLongExpires)
+TEST_F(WithDeadlines, AQueuedRequestExpiresAtItsDeadline)
 {
   Enqueue(Ticket(Priority::kOrdinary));
   EXPECT_TRUE(mQueue.Expire(mClock.Now()).empty());
@@ -168,7 +168,7 @@
   WithTeams() { mQueue = AdmissionQueue({ .mSlots = 1, .mMaxQueued = 1000 }); }
 };
 
-TEST_F(WithTeams, OneAtTenTimesItsShareDoesNotHoldUpAnother)
+TEST_F(WithTeams, OneWithManyQueuedRequestsDoesNotDelayAnother)
 {
   for (int i = 0; i < 100; ++i) {
     Enqueue(Ticket(Priority::kOrdinary, "large"));
--- a/packages/state/tests/first_token_test.cpp
+++ b/packages/state/tests/first_token_test.cpp
@@ -106,7 +106,7 @@
   EXPECT_EQ(Urgency(Millis(900), Millis(100)), 1 + mSettings.mLateDemotion);
 }
 
-TEST_F(GivenARequestToSend, ItNeverExceedsTheLowestLevel)
+TEST_F(GivenARequestToSend, ItIsNotDemotedBelowTheLowestLevel)
 {
   EXPECT_EQ(Urgency(Millis(0), Millis(5000), 8), kUrgencyLevels - 1);
 }
@@ -116,7 +116,7 @@
 class GivenTwiceTheLoadAnEngineCanServe : public ::testing::Test
 {
 protected:
-  std::vector<SimulatedRequest> Play(QueueingPolicy aOrder) const
+  std::vector<SimulatedRequest> Play(QueueingPolicy aPolicy) const
   {
     constexpr int kRequests = 40;
     std::vector<SimulatedRequest> requests;
@@ -124,7 +124,7 @@
     for (int i = 0; i < kRequests; ++i) {
       requests.push_back({ Millis(112 * i), 9000, Millis(600) });
     }
-    EngineSimulation(40.0, aOrder, Millis(2400)).Play(requests);
+    EngineSimulation(40.0, aPolicy, Millis(2400)).Play(requests);
     return requests;
   }
 
@@ -148,13 +148,14 @@
   EXPECT_LT(InTime(Play(QueueingPolicy::kByRouteUrgency)), 8);
 }
 
-TEST_F(GivenTwiceTheLoadAnEngineCanServe, ByObjectiveMostOfWhatItServesIsInTime)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe, ByObjectiveMostOfThoseServedAreInTime)
 {
-  // Of the 20 that it can serve in that time.
+  // The engine can serve 20 in that time.
   EXPECT_GE(InTime(Play(QueueingPolicy::kByObjective)), 15);
 }
 
-TEST_F(GivenTwiceTheLoadAnEngineCanServe, TheOthersAreStillServedFromWhatIsLeft)
+TEST_F(GivenTwiceTheLoadAnEngineCanServe,
+       LateOnesAreServedWithTheRemainingCapacity)
 {
   const auto requests = Play(QueueingPolicy::kByObjective);
   const auto served =
@@ -207,7 +208,7 @@
   mClock.Advance(Millis(1));
   EXPECT_TRUE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   {
-    SCOPED_TRACE("it got its first token");
+    SCOPED_TRACE("the oldest has got its first token");
     mLateRequests.Remove(first);
     EXPECT_FALSE(mLateRequests.IsStalled(mClock.Now(), kObjective));
   }
--- a/packages/state/tests/overload_guard_test.cpp
+++ b/packages/state/tests/overload_guard_test.cpp
@@ -43,7 +43,7 @@
   }
 };
 
-TEST_F(ThatIsLateAgainAndAgain, TheMostUrgentWorkIsRefusedLast)
+TEST_F(ThatIsLateAgainAndAgain, TheMostUrgentRequestsAreRefusedLast)
 {
   EXPECT_TRUE(mGuard.MustRefuse(1));
   EXPECT_FALSE(mGuard.MustRefuse(0));
@@ -51,7 +51,7 @@
   EXPECT_TRUE(mGuard.MustRefuse(0));
 }
 
-TEST_F(ThatIsLateAgainAndAgain, AllIsAcceptedAgainOnceItIsOnTime)
+TEST_F(ThatIsLateAgainAndAgain, AllRequestsAreAcceptedAgainOnceItIsOnTime)
 {
   Check(Millis(100));
   EXPECT_TRUE(mGuard.IsOverloaded());
--- a/packages/state/tests/placement_load_test.cpp
+++ b/packages/state/tests/placement_load_test.cpp
@@ -162,8 +162,7 @@
 } // namespace
 
 // With a lead of 20,000 tokens and two candidates, 117 of 2,953 streams pause
-// for too long; with 3,000 tokens and six candidates, 5 of 2,945. An earlier
-// measurement had 93 of 1,000 and none.
+// for too long; with 3,000 tokens and six candidates, 5 of 2,945.
 TEST(AfterNewWeights, LessThanOneStreamInAHundredPausesForPrefill)
 {
   EXPECT_LT(ShareThatPaused({}), 0.01);
--- a/packages/state/tests/placement_test.cpp
+++ b/packages/state/tests/placement_test.cpp
@@ -116,7 +116,7 @@
   EndpointTable mTable{ EndpointTableSettings{} };
 };
 
-TEST_F(GivenEndpoints, AllThatAreListedAndConfiguredMayGetWork)
+TEST_F(GivenEndpoints, AllThatAreListedAndConfiguredMayGetRequests)
 {
   EXPECT_EQ(Usable().size(), 12U);
   EXPECT_TRUE(mTable.Usable("another", mClock.Now()).empty());
@@ -166,14 +166,14 @@
   }
 };
 
-TEST_F(SomeOfThemFailing, OneFailureAloneEjectsNobody)
+TEST_F(SomeOfThemFailing, ASingleFailureEjectsNone)
 {
   mTable.At({ 0 }).mHealth.Failed(mClock.Now());
   EXPECT_EQ(mTable.At({ 0 }).mHealth.State(), HealthState::kSuspect);
   EXPECT_EQ(Usable().size(), 12U);
 }
 
-TEST_F(SomeOfThemFailing, FailuresInARowEjectAndATrialBringsBack)
+TEST_F(SomeOfThemFailing, ConsecutiveFailuresEjectAndATrialReadmits)
 {
   Fail(2);
   EXPECT_EQ(Usable().size(), 10U);
@@ -240,7 +240,7 @@
   std::vector<PrefixLevel> mLevels{ { 77, 20 }, { 88, 36 } };
 };
 
-TEST_F(WithChooserPolicies, EveryPolicyNamesOnlyUsableEndpoints)
+TEST_F(WithChooserPolicies, EveryPolicyChoosesOnlyUsableEndpoints)
 {
   mTable.NoteLeaving({ 4 }, mClock.Now());
   for (std::size_t i = 0; i < 5; ++i) {
@@ -253,13 +253,13 @@
   }
 }
 
-TEST_F(WithChooserPolicies, AColdPrefixStaysWithTheSameThree)
+TEST_F(WithChooserPolicies, AColdPrefixStaysOnTheSameThreeEndpoints)
 {
   auto chooser = Make(ChoicePolicy::kNestedGroups);
   EXPECT_EQ(Chosen(*chooser, 50).size(), 3U);
 }
 
-TEST_F(WithChooserPolicies, ByDefaultAColdPrefixIsAlwaysProbedAtTheSame)
+TEST_F(WithChooserPolicies, ByDefaultAColdPrefixAlwaysProbesTheSameEndpoints)
 {
   auto chooser = Make(ChoicePolicy::kNestedGroups);
   const std::size_t probes = ChooserSettings().mProbes;
@@ -283,7 +283,7 @@
   }
 }
 
-TEST_F(WithChooserPolicies, LeastLoadCountsWhatItSent)
+TEST_F(WithChooserPolicies, LeastLoadCountsRequestsSentSinceTheLastReport)
 {
   auto chooser = Make(ChoicePolicy::kLeastLoad);
   for (std::uint32_t i = 0; i < 12; ++i) {
--- a/packages/state/tests/relay_state_test.cpp
+++ b/packages/state/tests/relay_state_test.cpp
@@ -215,7 +215,7 @@
   EXPECT_EQ(Choose(), Choose());
 }
 
-TEST_F(GivenCandidates, ItMovesWhenMuchMoreWaitsThere)
+TEST_F(GivenCandidates, ItMovesIfMuchMoreIsQueuedThere)
 {
   const auto first = Choose();
   mCandidates[first].mQueuedTokens = mSettings.mMaxLeadTokens;
@@ -307,7 +307,7 @@
   }
 }
 
-// Short prompts of a team share 200 tokens, too few for a transfer of their
+// Small prompts of a team share 200 tokens, too few for a transfer of their
 // parts. They are prefilled on every engine that gets such a prompt.
 class GivenSmallPromptsOfManyTeams : public ::testing::Test
 {
@@ -345,7 +345,7 @@
       const auto engine = Choose(team);
       prefilled.emplace(engine, team);
       ++mCandidates[engine].mRunning;
-      mMostRunning = std::max(mMostRunning, mCandidates[engine].mRunning);
+      mMaxRunning = std::max(mMaxRunning, mCandidates[engine].mRunning);
       inFlight.push_back(engine);
       if (inFlight.size() > kEngines / 2) {
         --mCandidates[inFlight.front()].mRunning;
@@ -358,7 +358,7 @@
   std::vector<RelayCandidate> mCandidates;
   RelayChoiceSettings mSettings;
   RandomSource mRandom{ 7 };
-  std::int64_t mMostRunning = 0;
+  std::int64_t mMaxRunning = 0;
   bool mIsByLoadAlone = false;
 };
 
@@ -387,7 +387,7 @@
 TEST_F(GivenSmallPromptsOfManyTeams, NoEngineIsOverloaded)
 {
   CountPrefills();
-  EXPECT_LE(mMostRunning, mSettings.mMaxSmallPartLead + 3);
+  EXPECT_LE(mMaxRunning, mSettings.mMaxSmallPartLead + 3);
 }
 
 class GivenThreeKvStores : public ::testing::Test
@@ -542,7 +542,7 @@
   RelayRules mRules;
 };
 
-TEST_F(GivenRules, TheLongestPrefixOfTheHostCounts)
+TEST_F(GivenRules, TheLongestPathPrefixOfTheHostIsChosen)
 {
   const RelayConfig config(mRules);
   EXPECT_EQ(config.RouteOf("host.example:80", "/a/b/c")->mName, "/a/b/");
@@ -551,7 +551,7 @@
   EXPECT_EQ(config.RouteOf("other.example", "/a/"), nullptr);
 }
 
-TEST_F(GivenRules, EachOfATeamsKeysNamesIt)
+TEST_F(GivenRules, EachOfATeamsKeysIdentifiesIt)
 {
   const RelayConfig config(mRules);
   EXPECT_EQ(config.TeamOf("k2")->mName, "team");
--- a/packages/state/tests/stream_test.cpp
+++ b/packages/state/tests/stream_test.cpp
@@ -250,7 +250,8 @@
   EXPECT_GT(CountBroken({ .mHasGate = false }), 0);
 }
 
-TEST_F(WithoutAStreamsMechanism, WithoutTheCountATruncatedStreamLooksComplete)
+TEST_F(WithoutAStreamsMechanism,
+       WithoutTheEndCheckATruncatedStreamLooksComplete)
 {
   EXPECT_GT(CountBroken({ .mChecksEnd = false }), 0);
 }
--- a/packages/state/tests/warming_test.cpp
+++ b/packages/state/tests/warming_test.cpp
@@ -1,5 +1,5 @@
 // Warming before an event starts: its shared prefix is computed on the
-// endpoints that routers will probe first, on as many as the parameters say.
+// endpoints that routers will probe first, on as many as are configured.
 
 #include <gtest/gtest.h>
 
@@ -67,7 +67,7 @@
   EXPECT_TRUE(WarmingEndpoints(-1000).empty());
 }
 
-TEST_F(GivenAnEvent, JustBeforeAsManyWarmAsWereAskedFor)
+TEST_F(GivenAnEvent, JustBeforeItAsManyWarmAsAreConfigured)
 {
   EXPECT_EQ(WarmingEndpoints(30000).size(), 2U);
   mConfig.mParameters[0].mWarmEndpoints = 5;
