--- a/packages/state/include/shuntjunction/state/crash_tracker.h
+++ b/packages/state/include/shuntjunction/state/crash_tracker.h
@@ -24,11 +24,11 @@
   /// A request with no crash for this long is no longer suspected: callers that
   /// retry do so within minutes.
   Millis mSuspicionPeriod{ std::chrono::minutes(10) };
-  /// How long a quarantined request is refused. A crash affects every request
-  /// on the endpoint, so a fleet can afford one trial an hour.
+  /// How long a quarantined request is refused. A crash ends every request on
+  /// the endpoint, so a fleet can afford only one trial per hour.
   Millis mQuarantine{ std::chrono::hours(1) };
   /// Maximum number of tracked requests; 4,096 requests with three crashes each
-  /// took 1.1 MB.
+  /// take about 1.1 MB.
   std::size_t mMaxRequests = 4096;
 };
 
--- a/packages/state/include/shuntjunction/state/endpoint_directory.h
+++ b/packages/state/include/shuntjunction/state/endpoint_directory.h
@@ -35,8 +35,8 @@
   /// Adds or updates an entry; returns whether anything changed.
   ///
   /// Of an entry written by a former incarnation only the leaving flag is used:
-  /// if wrong, it keeps work from a live endpoint for at most one heartbeat,
-  /// and an endpoint that leaves gets no new work.
+  /// an endpoint that is leaving must get no new work, and a wrong flag keeps
+  /// work away from a live endpoint for at most one heartbeat.
   bool Put(const EndpointInfo& aEndpoint, TimePoint aNow);
 
   /// Drops an entry whose object no longer describes an endpoint; returns
--- a/packages/state/include/shuntjunction/state/endpoint_incarnation.h
+++ b/packages/state/include/shuntjunction/state/endpoint_incarnation.h
@@ -6,7 +6,7 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Distinguishes the incarnations of an endpoint, that is, its process starts.
+/// Distinguishes the incarnations of an endpoint, one per process start.
 namespace shuntjunction::state {
 
 /// One incarnation of an endpoint, identified by its start time.
@@ -64,7 +64,7 @@
   /// Handles a report from any source; reports may arrive in any order.
   IncarnationUpdate Take(EndpointIncarnation aReported, TimePoint aNow);
 
-  /// Handles the endpoint's own answer to a query, which is always current.
+  /// Handles the endpoint's own response to a query, always current.
   IncarnationUpdate TakeSelfReport(EndpointIncarnation aReported);
 
   /// Accepts an earlier start whose grace period has ended; returns whether
--- a/packages/state/include/shuntjunction/state/endpoint_limits.h
+++ b/packages/state/include/shuntjunction/state/endpoint_limits.h
@@ -142,7 +142,7 @@
   {
     UsageBucket mBucket;
     std::uint32_t mRateVersion = 0;
-    double mNamed = 0;
+    double mAdvertised = 0;
     bool mIsOnSameHost = false;
     TimePoint mLastUsedAt;
     std::uint64_t mGiven = 0; ///< since the last collection
--- a/packages/state/include/shuntjunction/state/endpoint_silence.h
+++ b/packages/state/include/shuntjunction/state/endpoint_silence.h
@@ -26,7 +26,7 @@
 {
   bool mHasCompanionMessage = false;  ///< its companion has sent any message
   Millis mSinceCompanionMessage{ 0 }; ///< since its companion's last message
-  bool mIsCompanionClosed = false;    ///< its side closed the connection
+  bool mIsCompanionClosed = false;    ///< the companion disconnected
   bool mHasPendingRequest = false;    ///< a request waits for its bytes
   Millis mSinceEndpointBytes{ 0 };    ///< since bytes, or since the wait began
 };
@@ -60,8 +60,8 @@
 /// Whether a machine has stopped while requests are pending on it: both the
 /// endpoint and its companion have been silent for longer than load explains.
 ///
-/// Stricter than IsSilent, because a request that is moved has to be read again
-/// elsewhere.
+/// Stricter than IsSilent, because the prompt of a request that is moved has to
+/// be prefilled again elsewhere.
 /// Thread safety: pure.
 inline bool
 HasStopped(const LivenessSignals& aSignals,
--- a/packages/state/include/shuntjunction/state/limit_shares.h
+++ b/packages/state/include/shuntjunction/state/limit_shares.h
@@ -128,7 +128,7 @@
 {
   kOpen,
   kEmpty,  ///< its companion had nothing left
-  kSilent, ///< its companion did not reply
+  kSilent, ///< its companion could not be asked or did not reply
 };
 
 /// Tells a relay where to request its teams' shares, and which shares to skip
--- a/packages/state/include/shuntjunction/state/usage_limit.h
+++ b/packages/state/include/shuntjunction/state/usage_limit.h
@@ -26,7 +26,7 @@
 struct UsageLimit
 {
   double mPerSecond = 0;
-  double mBurst = 0; ///< above the rate, may be used at once
+  double mBurst = 0; ///< amount that may be used at once, above the rate
 
   bool IsLimited() const { return mPerSecond > 0; }
 
--- a/packages/state/src/crash_tracker.cpp
+++ b/packages/state/src/crash_tracker.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Fraction of a full tracker that is evicted at once, so that a flood of
-/// suspects requires a scan of all of them a thousand times less often.
+/// A full tracker evicts one record in this many at once. At the default size a
+/// flood of suspects then scans all records once per 512 new ones, not for
+/// each.
 constexpr std::size_t kEvictionDivisor = 8;
 
 } // namespace
@@ -29,12 +30,13 @@
   }
   record.mCrashes.push_back({ aReport.mEndpoint, aAt });
   record.mLatest = std::max(record.mLatest, aAt);
-  const auto most = static_cast<std::size_t>(mSettings.mQuarantineThreshold);
-  if (record.mCrashes.size() >= most) {
+  const auto threshold =
+    static_cast<std::size_t>(mSettings.mQuarantineThreshold);
+  if (record.mCrashes.size() >= threshold) {
     record.mQuarantinedUntil =
       std::max(record.mQuarantinedUntil, aAt + mSettings.mQuarantine);
   }
-  if (record.mCrashes.size() > most) {
+  if (record.mCrashes.size() > threshold) {
     record.mCrashes.erase(record.mCrashes.begin());
   }
   return true;
--- a/packages/state/src/endpoint_limits.cpp
+++ b/packages/state/src/endpoint_limits.cpp
@@ -40,15 +40,15 @@
     mLimited.erase(found);
     return RateNews{ endpoint.mHash, std::nullopt };
   }
-  const double named = aReport.mRate.mPerSecond;
-  auto& limited = Find(endpoint, named, aNow);
+  const double advertised = aReport.mRate.mPerSecond;
+  auto& limited = Find(endpoint, advertised, aNow);
   limited.mRateVersion = ++mRateVersion;
-  if (isKnown && limited.mNamed == named) {
+  if (isKnown && limited.mAdvertised == advertised) {
     return std::nullopt;
   }
-  limited.mNamed = named;
-  limited.mBucket.SetLimit(LimitOf(named), aNow);
-  return RateNews{ endpoint.mHash, named };
+  limited.mAdvertised = advertised;
+  limited.mBucket.SetLimit(LimitOf(advertised), aNow);
+  return RateNews{ endpoint.mHash, advertised };
 }
 
 PlaceGrant
@@ -98,7 +98,7 @@
   std::vector<RateNews> known;
   known.reserve(mLimited.size());
   for (const auto& [endpoint, limited] : mLimited) {
-    known.push_back({ endpoint, limited.mNamed });
+    known.push_back({ endpoint, limited.mAdvertised });
   }
   return known;
 }
@@ -106,15 +106,15 @@
 std::vector<RateUsage>
 EndpointLimits::CollectUsage()
 {
-  std::vector<RateUsage> uses;
+  std::vector<RateUsage> usage;
   for (auto& [endpoint, limited] : mLimited) {
     const auto given = std::exchange(limited.mGiven, 0);
     const auto denied = std::exchange(limited.mDenied, 0);
     if (given + denied > 0) {
-      uses.push_back({ endpoint, limited.mNamed, given, denied });
+      usage.push_back({ endpoint, limited.mAdvertised, given, denied });
     }
   }
-  return uses;
+  return usage;
 }
 
 bool
--- a/packages/state/src/share_ownership.cpp
+++ b/packages/state/src/share_ownership.cpp
@@ -35,10 +35,10 @@
   if (aHosts.empty() || isKnown) {
     return false;
   }
-  const bool isSettling =
+  const bool isInStartupWindow =
     mIsFirstListing && mListings.size() == 1 &&
     aNow - mListings.back().mSince < mSettings.mStartupWindow;
-  if (isSettling) {
+  if (isInStartupWindow) {
     mListings.back().mHosts = std::move(aHosts);
     mListings.back().mIsOwn.clear();
   } else {
--- a/packages/state/tests/endpoint_availability_model_test.cpp
+++ b/packages/state/tests/endpoint_availability_model_test.cpp
@@ -1,8 +1,8 @@
 // Simulates one relay and one endpoint under generated schedules and checks
 // that the relay respects what the endpoint advertised.
 //
-// Answers have random delays and overtake each other; the endpoint drains, asks
-// for cooldowns and restarts under its id; lists arrive late and entries
+// Responses have random delays and overtake each other; the endpoint drains,
+// asks for cooldowns and restarts under its id; lists arrive late and entries
 // expire; the relay's machine is suspended. Requests are sent right after the
 // choice of the endpoint, or after a wait.
 
@@ -22,7 +22,7 @@
 constexpr Millis kStep{ 10 };
 constexpr Millis kCooldownGrace{ 500 };
 constexpr std::size_t kAllowedInCooldown = 2;
-constexpr int kLongestAnswer = 300;
+constexpr int kMaxResponseDelay = 300;
 constexpr int kLongestWait = 750;
 constexpr int kLatestList = 4000;
 /// An incarnation that does not drain gets a request at least this often,
@@ -36,7 +36,7 @@
   kNothing,
   kCheckAtSend,
   kLongestCooldown, ///< the latest request for a cooldown wins
-  kIncarnation,     ///< answers are applied to the current incarnation
+  kIncarnation,     ///< responses are applied to the current incarnation
   kRetentionOfRemoved,
 };
 
@@ -48,18 +48,18 @@
   bool mIsDraining = false;
   TimePoint mRefusesUntil;
   std::optional<TimePoint>
-    mDrainHeardAt; ///< time at which the relay got it in an answer
+    mDrainHeardAt; ///< time at which the relay got it in a response
   std::vector<TimePoint> mArrivals;
-  /// Cooldowns whose answer reached the relay: from the refusal to the end.
+  /// Cooldowns whose response reached the relay: from the refusal to the end.
   std::vector<std::pair<TimePoint, TimePoint>> mCooldowns;
 };
 
 using IncarnationPtr = std::shared_ptr<Incarnation>;
 
-class World
+class Simulation
 {
 public:
-  World(std::uint64_t aSeed, Disabled aDisabled)
+  Simulation(std::uint64_t aSeed, Disabled aDisabled)
     : mDisabled(aDisabled)
     , mRandom(aSeed)
   {
@@ -143,13 +143,13 @@
       mEndpoint->mRefusesUntil = mClock.Now() + Draw(200, 4000);
     }
     if (Chance(0.0004)) {
-      // It may start draining right before, so that its last answers arrive
+      // It may start draining right before, so that its last responses arrive
       // after the restart.
       if (Chance(0.5)) {
         mEndpoint->mIsDraining = true;
       }
       const auto ended = mEndpoint;
-      After(Draw(20, kLongestAnswer), [this, ended] {
+      After(Draw(20, kMaxResponseDelay), [this, ended] {
         if (mEndpoint == ended) {
           Restart();
         }
@@ -174,7 +174,7 @@
     mEndpoint->mEndpointIncarnation = EndpointIncarnation(mClock.WallMillis());
     mEndpoint->mFrom = mClock.Now();
     const Listing listing{ mEndpoint->mEndpointIncarnation, true };
-    After(Chance(0.5) ? Draw(0, kLongestAnswer) : Draw(0, kLatestList),
+    After(Chance(0.5) ? Draw(0, kMaxResponseDelay) : Draw(0, kLatestList),
           [this, listing] { OnRelay([=, this] { HandleList(listing); }); });
   }
 
@@ -237,18 +237,18 @@
                              0 };
     }
     const auto sentAt = mClock.Now();
-    After(Draw(1, kLongestAnswer), [=, this] {
+    After(Draw(1, kMaxResponseDelay), [=, this] {
       OnRelay([=, this] {
-        HandleAnswer(aChosen, endpoint, notice, sentAt);
+        HandleResponse(aChosen, endpoint, notice, sentAt);
         aChosen->Settle(std::move(*clearance), left <= Millis(0));
       });
     });
   }
 
-  void HandleAnswer(const AvailabilityRegistry::Ptr& aChosen,
-                    const IncarnationPtr& aFrom,
-                    const EndpointNotice& aNotice,
-                    TimePoint aRefusedAt)
+  void HandleResponse(const AvailabilityRegistry::Ptr& aChosen,
+                      const IncarnationPtr& aFrom,
+                      const EndpointNotice& aNotice,
+                      TimePoint aRefusedAt)
   {
     auto& current =
       mDisabled == Disabled::kIncarnation && mCurrent ? mCurrent : aChosen;
@@ -259,7 +259,7 @@
       *current = *changed;
     }
     current->Take(aNotice, mClock.Now(), mClock.WallMillis());
-    // Answers are attributed to the incarnation that was chosen.
+    // Responses are attributed to the incarnation that was chosen.
     if (mTracker.Current() != aFrom->mEndpointIncarnation ||
         aChosen != mCurrent) {
       return;
@@ -328,9 +328,9 @@
 {
   std::size_t violations = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aDisabled);
-    world.Run(kTime);
-    violations += world.IsViolated() ? 1 : 0;
+    Simulation simulation(seed, aDisabled);
+    simulation.Run(kTime);
+    violations += simulation.IsViolated() ? 1 : 0;
   }
   return violations;
 }
@@ -343,11 +343,11 @@
   std::size_t drains = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World world(seed, Disabled::kNothing);
-    world.Run(kTime);
-    EXPECT_FALSE(world.IsViolated());
-    cooldowns += world.Cooldowns();
-    drains += world.Drains();
+    Simulation simulation(seed, Disabled::kNothing);
+    simulation.Run(kTime);
+    EXPECT_FALSE(simulation.IsViolated());
+    cooldowns += simulation.Cooldowns();
+    drains += simulation.Drains();
   }
   EXPECT_GT(cooldowns, kSeeds);
   EXPECT_GT(drains, kSeeds);
@@ -364,7 +364,7 @@
   EXPECT_GT(CountViolations(Disabled::kLongestCooldown), 0U);
 }
 
-TEST(GeneratedAdvertisements, TheCheckerFindsAnswersOfAFormerIncarnation)
+TEST(GeneratedAdvertisements, TheCheckerFindsResponsesOfAFormerIncarnation)
 {
   EXPECT_GT(CountViolations(Disabled::kIncarnation), 0U);
 }
--- a/packages/state/tests/endpoint_availability_test.cpp
+++ b/packages/state/tests/endpoint_availability_test.cpp
@@ -5,7 +5,7 @@
 #include "shuntjunction/state/endpoint_availability.h"
 
 // Whether a relay may send to an endpoint, according to the list, the
-// endpoint's own answers and failed attempts.
+// endpoint's own responses and failed attempts.
 
 namespace shuntjunction::state {
 
@@ -48,7 +48,7 @@
   EXPECT_EQ(Now(), Obstacle::kNone);
 }
 
-TEST_F(GivenAListedEndpoint, AnAnswerThatAdvertisesNothingChangesNothing)
+TEST_F(GivenAListedEndpoint, AResponseThatAdvertisesNothingChangesNothing)
 {
   const auto change = Take({});
   EXPECT_FALSE(change.mIsDraining);
@@ -74,31 +74,31 @@
   EXPECT_EQ(mEndpoint.ObstacleAtSend(mClock.Now(), need), Obstacle::kNone);
 }
 
-class WhoseAnswerReportedADrain : public GivenAListedEndpoint
+class WhoseResponseReportedADrain : public GivenAListedEndpoint
 {
 protected:
-  WhoseAnswerReportedADrain() { EXPECT_TRUE(Take(Drain()).mIsDraining); }
+  WhoseResponseReportedADrain() { EXPECT_TRUE(Take(Drain()).mIsDraining); }
 };
 
-TEST_F(WhoseAnswerReportedADrain, ItIsNotAvailable)
+TEST_F(WhoseResponseReportedADrain, ItIsNotAvailable)
 {
   EXPECT_EQ(Now(), Obstacle::kDraining);
 }
 
-TEST_F(WhoseAnswerReportedADrain, AListThatShowsItAsReadyDoesNotBringItBack)
+TEST_F(WhoseResponseReportedADrain, AListThatShowsItAsReadyDoesNotBringItBack)
 {
   mEndpoint.SetListing(true, true);
   mEndpoint.SetListing(true, false);
   EXPECT_EQ(Now(), Obstacle::kDraining);
 }
 
-TEST_F(WhoseAnswerReportedADrain, AnAnswerWithoutTheReportDoesNotBringItBack)
+TEST_F(WhoseResponseReportedADrain, AResponseWithoutTheReportDoesNotBringItBack)
 {
   EXPECT_FALSE(Take({}).mIsDraining);
   EXPECT_EQ(Now(), Obstacle::kDraining);
 }
 
-TEST_F(WhoseAnswerReportedADrain, FurtherReportsChangeNothing)
+TEST_F(WhoseResponseReportedADrain, FurtherReportsChangeNothing)
 {
   EXPECT_FALSE(Take(Drain()).mIsDraining);
 }
@@ -149,7 +149,7 @@
   EXPECT_EQ(Now(), Obstacle::kCooldown);
 }
 
-TEST_F(ThatAskedForACooldown, AnAnswerSentBeforeItDoesNotEndIt)
+TEST_F(ThatAskedForACooldown, AResponseSentBeforeItDoesNotEndIt)
 {
   Take({});
   EXPECT_EQ(Now(), Obstacle::kCooldown);
@@ -260,7 +260,7 @@
 }
 
 TEST_F(GivenAnAvailabilityRegistry,
-       AnAnswerOfAFormerIncarnationDoesNotAffectTheNext)
+       AResponseOfAFormerIncarnationDoesNotAffectTheNext)
 {
   const auto former = mRegistry.Find("i-1", mFirst);
   const auto next = mRegistry.Begin("i-1", mSecond);
--- a/packages/state/tests/endpoint_incarnation_test.cpp
+++ b/packages/state/tests/endpoint_incarnation_test.cpp
@@ -81,16 +81,16 @@
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
-TEST_F(ThatWasReplaced, TheEndpointsOwnAnswerIsAcceptedAtOnce)
+TEST_F(ThatWasReplaced, TheEndpointsOwnResponseIsAcceptedAtOnce)
 {
   EXPECT_EQ(mTracker.TakeSelfReport(kFirst), IncarnationUpdate::kNewer);
   EXPECT_EQ(mTracker.Current(), kFirst);
 }
 
-class GivenAListedEndpoint : public ::testing::Test
+class GivenADirectoryWithAnEndpoint : public ::testing::Test
 {
 protected:
-  GivenAListedEndpoint() { Put(kFirst, 5); }
+  GivenADirectoryWithAnEndpoint() { Put(kFirst, 5); }
 
   void Put(EndpointIncarnation aIncarnation,
            std::uint64_t aRevision,
@@ -111,14 +111,15 @@
   EndpointDirectory mDirectory;
 };
 
-TEST_F(GivenAListedEndpoint, ItsNextIncarnationReplacesIt)
+TEST_F(GivenADirectoryWithAnEndpoint, ItsNextIncarnationReplacesIt)
 {
   Put(kSecond, 6);
   EXPECT_EQ(Listed().mEndpointIncarnation, kSecond);
   EXPECT_EQ(Listed().mAddress, "1:6");
 }
 
-TEST_F(GivenAListedEndpoint, ADelayedEntryOfItsFormerIncarnationChangesNothing)
+TEST_F(GivenADirectoryWithAnEndpoint,
+       ADelayedEntryOfItsFormerIncarnationChangesNothing)
 {
   Put(kSecond, 6);
   Put(kFirst, 7);
@@ -138,7 +139,7 @@
   }
 }
 
-TEST_F(GivenAListedEndpoint, ItIsLeavingWhicheverIncarnationReportsIt)
+TEST_F(GivenADirectoryWithAnEndpoint, ItIsLeavingWhicheverIncarnationReportsIt)
 {
   Put(kSecond, 6);
   Put(kFirst, 7, true);
@@ -147,7 +148,7 @@
   EXPECT_FALSE(Listed().mIsLeaving);
 }
 
-TEST_F(GivenAListedEndpoint, AnEarlierStartThatPersistsIsAccepted)
+TEST_F(GivenADirectoryWithAnEndpoint, AnEarlierStartThatPersistsIsAccepted)
 {
   Put(kSecond, 6);
   Put(kFirst, 7);
@@ -157,7 +158,8 @@
   EXPECT_EQ(Listed().mAddress, "1:7");
 }
 
-TEST_F(GivenAListedEndpoint, AnEntryThatIsNoEndpointIsDroppedEvenAfterAnOutage)
+TEST_F(GivenADirectoryWithAnEndpoint,
+       AnEntryThatIsNoEndpointIsDroppedEvenAfterAnOutage)
 {
   mDirectory.NoteOutage(mClock.Now());
   EXPECT_TRUE(mDirectory.Drop("a"));
@@ -167,7 +169,7 @@
   EXPECT_EQ(mDirectory.Endpoints().size(), 1U);
 }
 
-TEST(GivenPartsThatAreBeingRead, ThoseOfAnEndedReaderAreNotWaitedFor)
+TEST(GivenPartsThatAreBeingPrefilled, ThoseOfAnEndedEndpointAreNotWaitedFor)
 {
   ManualClock clock;
   clock.Advance(1s);
--- a/packages/state/tests/endpoint_limit_model_test.cpp
+++ b/packages/state/tests/endpoint_limit_model_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr Millis kWindow{ 4000 };
-constexpr Millis kSettling{ 3000 };
+constexpr Millis kSettlingTime{ 3000 };
 constexpr Millis kPropagation{ 500 };
 constexpr Millis kStep{ 10 };
 constexpr int kRelays = 6;
@@ -43,10 +43,10 @@
   TimePoint mFrom;
 };
 
-class World
+class Simulation
 {
 public:
-  World(std::uint64_t aSeed, Disabled aDisabled)
+  Simulation(std::uint64_t aSeed, Disabled aDisabled)
     : mDisabled(aDisabled)
     , mRandom(aSeed)
     , mRelays(kRelays)
@@ -115,7 +115,7 @@
   struct Relay
   {
     std::optional<double> mRate;
-    std::optional<TimePoint> mRateKnownSince; ///< first answer with a rate
+    std::optional<TimePoint> mRateKnownSince; ///< first response with a rate
     TimePoint mSuspendedUntil;
     TimePoint mCutUntil; ///< cut off from the owner
     TimePoint mExcusedUntil;
@@ -209,7 +209,7 @@
       After(Draw(10, 400), [this, aRelay, aVersion] {
         const auto rate = mRates.back().mPerSecond;
         AtRelay(aRelay, Draw(1, 30), [this, aRelay, rate, aVersion] {
-          HandleAnswer(aRelay, rate, aVersion);
+          HandleResponse(aRelay, rate, aVersion);
         });
       });
     });
@@ -221,7 +221,7 @@
     const auto& relay = mRelays[aRelay];
     const auto& period = mRates.back();
     if (!period.mPerSecond) {
-      mUnlimitedArrivals += now >= period.mFrom + kSettling ? 1 : 0;
+      mUnlimitedArrivals += now >= period.mFrom + kSettlingTime ? 1 : 0;
       return;
     }
     const bool isLimited =
@@ -233,9 +233,9 @@
     }
   }
 
-  void HandleAnswer(std::size_t aRelay,
-                    std::optional<double> aRate,
-                    std::optional<std::uint32_t> aVersion)
+  void HandleResponse(std::size_t aRelay,
+                      std::optional<double> aRate,
+                      std::optional<std::uint32_t> aVersion)
   {
     auto& relay = mRelays[aRelay];
     if (aRate) {
@@ -290,14 +290,14 @@
     auto& relay = mRelays[mRandom() % mRelays.size()];
     if (Chance(kFaultChance)) {
       relay.mSuspendedUntil = now + Draw(200, 4000);
-      relay.mExcusedUntil = relay.mSuspendedUntil + kSettling;
+      relay.mExcusedUntil = relay.mSuspendedUntil + kSettlingTime;
     }
     if (Chance(kFaultChance)) {
       relay.mCutUntil = now + Draw(200, 5000);
     }
     if (Chance(kFaultChance)) {
       ++relay.mProcess;
-      relay.mExcusedUntil = now + kSettling;
+      relay.mExcusedUntil = now + kSettlingTime;
       const auto known = mOwner->Known();
       relay.mRate = known.empty() ? std::nullopt : known[0].mPerSecond;
     }
@@ -316,7 +316,7 @@
       if (!overlaps) {
         continue;
       }
-      if (!mRates[i].mPerSecond || mRates[i].mFrom + kSettling > aAt) {
+      if (!mRates[i].mPerSecond || mRates[i].mFrom + kSettlingTime > aAt) {
         return std::nullopt;
       }
       largest = std::max(largest.value_or(0), *mRates[i].mPerSecond);
@@ -346,11 +346,11 @@
   std::size_t arrivals = 0;
   std::size_t unlimited = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aDisabled);
-    world.Run(std::chrono::seconds(90));
-    violations += world.IsViolated() ? 1 : 0;
-    arrivals += world.Arrivals();
-    unlimited += world.UnlimitedArrivals();
+    Simulation simulation(seed, aDisabled);
+    simulation.Run(std::chrono::seconds(90));
+    violations += simulation.IsViolated() ? 1 : 0;
+    arrivals += simulation.Arrivals();
+    unlimited += simulation.UnlimitedArrivals();
   }
   // An owner that grants nothing, or a rate that never ends, would make the
   // test meaningless.
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -16,7 +16,7 @@
 constexpr LimitedEndpoint kSameHost{ 7, true };
 
 EndpointRate
-Named(double aPerSecond)
+AdvertisedRate(double aPerSecond)
 {
   return { RateNotice::kAdvertised, aPerSecond };
 }
@@ -60,16 +60,16 @@
 
 TEST_F(GivenAnOwner, TheFirstReportOfARateIsSentToAllRelays)
 {
-  const auto update = Note(Named(2.0));
+  const auto update = Note(AdvertisedRate(2.0));
   ASSERT_TRUE(update);
   EXPECT_EQ(update->mPerSecond, 2.0);
   {
     SCOPED_TRACE("but not a further one with the same rate");
-    EXPECT_FALSE(Note(Named(2.0)));
+    EXPECT_FALSE(Note(AdvertisedRate(2.0)));
   }
   {
     SCOPED_TRACE("a different rate is sent");
-    EXPECT_EQ(Note(Named(0.5))->mPerSecond, 0.5);
+    EXPECT_EQ(Note(AdvertisedRate(0.5))->mPerSecond, 0.5);
   }
   {
     SCOPED_TRACE("and relays that connect later get it");
@@ -81,7 +81,7 @@
 class ThatWasReportedARate : public GivenAnOwner
 {
 protected:
-  ThatWasReportedARate() { Note(Named(2.0)); }
+  ThatWasReportedARate() { Note(AdvertisedRate(2.0)); }
 };
 
 TEST_F(ThatWasReportedARate, ItStartsWithAnEmptyBucket)
@@ -127,7 +127,7 @@
   }
 }
 
-TEST_F(ThatWasReportedARate, AnAnswerWithoutOneEndsIt)
+TEST_F(ThatWasReportedARate, AResponseWithoutOneEndsIt)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
@@ -138,11 +138,11 @@
   EXPECT_TRUE(mLimits.Known().empty());
 }
 
-TEST_F(ThatWasReportedARate, AnOvertakenAnswerWithoutOneDoesNot)
+TEST_F(ThatWasReportedARate, AnOvertakenResponseWithoutOneDoesNot)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
-  Note(Named(2.0));
+  Note(AdvertisedRate(2.0));
   EXPECT_FALSE(Note({}, grant.mRateVersion));
   {
     SCOPED_TRACE("nor one whose request was sent without a permit");
@@ -153,13 +153,13 @@
 TEST_F(ThatWasReportedARate, ALowerRateLeavesNothingOfTheFormerBurst)
 {
   mClock.Advance(Millis(30000));
-  Note(Named(0.5));
+  Note(AdvertisedRate(0.5));
   EXPECT_LE(GrantedWithin(std::chrono::seconds(4)), 4 * 0.5 + 0.5 + 2);
 }
 
 TEST_F(GivenAnOwner, ARateOfZeroStillAllowsAFewRequests)
 {
-  Note(Named(0));
+  Note(AdvertisedRate(0));
   EXPECT_EQ(GrantedWithin(std::chrono::seconds(9)), 2);
 }
 
@@ -173,9 +173,9 @@
 TEST_F(GivenAnOwner, ForAnEndpointWithoutCompanionItGrantsOnlyIfItIsTheOwner)
 {
   const LimitedEndpoint plain{ 7, false };
-  EXPECT_FALSE(Note(Named(2.0), 0, plain));
+  EXPECT_FALSE(Note(AdvertisedRate(2.0), 0, plain));
   mOwnership.SetHosts({ "10.0.0.1" }, mClock.Now());
-  EXPECT_TRUE(Note(Named(2.0), 0, plain));
+  EXPECT_TRUE(Note(AdvertisedRate(2.0), 0, plain));
   mClock.Advance(Millis(500));
   EXPECT_TRUE(Ask(true, plain).mIsGranted);
   {
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(GivenAnEndpointsAnswer, OnlyADecimalNumberOfRequestsIsARate)
+TEST(GivenAnEndpointsResponse, OnlyADecimalNumberOfRequestsIsARate)
 {
   EXPECT_EQ(ReadEndpointRate("2.3").mPerSecond, 2.3);
   EXPECT_EQ(ReadEndpointRate("0").mNotice, RateNotice::kAdvertised);
--- a/packages/state/tests/endpoint_silence_test.cpp
+++ b/packages/state/tests/endpoint_silence_test.cpp
@@ -21,12 +21,12 @@
   LivenessSignals mSignals;
 };
 
-TEST_F(GivenAnEndpointAndItsCompanion, AMessageThatIsDueIsNoSilence)
+TEST_F(GivenAnEndpointAndItsCompanion, AMessageThatIsNotOverdueIsNoSilence)
 {
   EXPECT_FALSE(IsSilentAfter(Millis(1000), Millis(9000)));
 }
 
-TEST_F(GivenAnEndpointAndItsCompanion, AnOverdueMessageIs)
+TEST_F(GivenAnEndpointAndItsCompanion, AnOverdueMessageIsSilence)
 {
   EXPECT_TRUE(IsSilentAfter(Millis(1300), Millis(9000)));
 }
--- a/packages/state/tests/freshness_test.cpp
+++ b/packages/state/tests/freshness_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(mFreshness.Age(mClock.Now()), Millis::max());
 }
 
-TEST_F(GivenConfirmedState, AnAnswerConfirmsTheTimeOfItsRequest)
+TEST_F(GivenConfirmedState, AResponseConfirmsTheTimeOfItsRequest)
 {
   AskOnce();
   EXPECT_EQ(mFreshness.Age(mClock.Now()), ConfirmationWait(kBound));
--- a/packages/state/tests/limit_model_test.cpp
+++ b/packages/state/tests/limit_model_test.cpp
@@ -2,7 +2,7 @@
 // under faults, and checks what all relays admit over any period.
 //
 // Relays and companions see changes of the list of companions late, each with
-// its own delay; answers are lost after a grant; companions and relays restart,
+// its own delay; replies are lost after a grant; companions and relays restart,
 // singly or all at once; companions leave the list and return; the limit
 // changes. The demand is several times the limit.
 
@@ -35,7 +35,7 @@
 
 /// Maximum usage within any window.
 double
-MostInAWindow(const std::vector<Usage>& aUsages, Millis aWindow)
+MaxInAnyWindow(const std::vector<Usage>& aUsages, Millis aWindow)
 {
   double most = 0;
   double sum = 0;
@@ -51,7 +51,8 @@
   return most;
 }
 
-/// The usage allowed in a window: ten percent above rate and burst.
+/// Usage that the operator tolerates in a window: ten percent above rate and
+/// burst.
 double
 Allowed(const UsageLimit& aLimit)
 {
@@ -71,10 +72,10 @@
   std::size_t mReachedRelays = kRelays; ///< that the callers connect to
 };
 
-class World
+class Simulation
 {
 public:
-  World(std::uint64_t aSeed, const Scenario& aScenario)
+  Simulation(std::uint64_t aSeed, const Scenario& aScenario)
     : mScenario(aScenario)
     , mRandom(aSeed)
   {
@@ -267,9 +268,10 @@
   constexpr std::uint64_t kSeeds = 40;
   int violations = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed, aScenario);
-    world.Run(std::chrono::seconds(40));
-    violations += MostInAWindow(world.mUsages, kWindow) > Allowed(world.mLimit);
+    Simulation simulation(seed, aScenario);
+    simulation.Run(std::chrono::seconds(40));
+    violations +=
+      MaxInAnyWindow(simulation.mUsages, kWindow) > Allowed(simulation.mLimit);
   }
   return violations;
 }
@@ -308,10 +310,10 @@
   const TimePoint start;
   const std::vector<Usage> bad{ { start + Millis(7900), 600000 },
                                 { start + Millis(8100), 600000 } };
-  EXPECT_GT(MostInAWindow(bad, kWindow), Allowed({ 100000, 100000 }));
+  EXPECT_GT(MaxInAnyWindow(bad, kWindow), Allowed({ 100000, 100000 }));
   const std::vector<Usage> good{ { start, 600000 },
                                  { start + kWindow, 600000 } };
-  EXPECT_EQ(MostInAWindow(good, kWindow), 600000);
+  EXPECT_EQ(MaxInAnyWindow(good, kWindow), 600000);
 }
 
 TEST(LimitsWithoutFaults,
@@ -322,12 +324,12 @@
     scenario.mDemand = 0.8;
     scenario.mHasFaults = false;
     scenario.mReachedRelays = relays;
-    World world(relays, scenario);
+    Simulation simulation(relays, scenario);
     // In the first second there is no burst to draw from.
-    world.Run(std::chrono::seconds(1));
-    world.mRefused = 0;
-    world.Run(std::chrono::seconds(60));
-    EXPECT_EQ(world.mRefused, 0) << relays << " relays";
+    simulation.Run(std::chrono::seconds(1));
+    simulation.mRefused = 0;
+    simulation.Run(std::chrono::seconds(60));
+    EXPECT_EQ(simulation.mRefused, 0) << relays << " relays";
   }
 }
 
@@ -335,14 +337,14 @@
 {
   Scenario scenario;
   scenario.mHasFaults = false;
-  World world(1, scenario);
+  Simulation simulation(1, scenario);
   constexpr int kSeconds = 40;
-  world.Run(std::chrono::seconds(kSeconds));
+  simulation.Run(std::chrono::seconds(kSeconds));
   double sum = 0;
-  for (const auto& usage : world.mUsages) {
+  for (const auto& usage : simulation.mUsages) {
     sum += usage.mAmount;
   }
-  EXPECT_NEAR(sum / (world.mLimit.mPerSecond * kSeconds), 1.0, 0.05);
+  EXPECT_NEAR(sum / (simulation.mLimit.mPerSecond * kSeconds), 1.0, 0.05);
 }
 
 } // namespace shuntjunction::state
--- a/packages/state/tests/list_freshness_test.cpp
+++ b/packages/state/tests/list_freshness_test.cpp
@@ -1,4 +1,4 @@
-// A watched list, and what answers about other objects show about it.
+// A watched list, and what responses about other objects show about it.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
   ListFreshness mList;
 };
 
-TEST_F(GivenAWatchedList, AnAnswerOfAnUnchangedStoreConfirmsIt)
+TEST_F(GivenAWatchedList, AResponseOfAnUnchangedStoreConfirmsIt)
 {
   mClock.Advance(Millis(700));
   mList.NoteStoreRevision(10, mClock.Now());
