--- a/packages/state/include/shuntjunction/state/endpoint_health.h
+++ b/packages/state/include/shuntjunction/state/endpoint_health.h
@@ -34,7 +34,8 @@
 /// Health state machine of one endpoint.
 ///
 ///     healthy --failed--> suspect --failed n--> ejected --due--> trial
-///     suspect, trial --succeeded--> healthy; trial --failed--> ejected
+///     suspect, ejected, trial --succeeded--> healthy
+///     trial --failed--> ejected
 ///
 /// Thread safety: none; owned by one thread.
 class EndpointHealth
--- a/packages/state/include/shuntjunction/state/endpoint_incarnation.h
+++ b/packages/state/include/shuntjunction/state/endpoint_incarnation.h
@@ -43,7 +43,7 @@
 {
   kSame,   ///< the current incarnation, or unknown
   kNewer,  ///< another one, now current: former state is invalid
-  kFormer, ///< an incarnation that has ended; to be ignored
+  kFormer, ///< an earlier one, presumed to have ended; to be ignored
 };
 
 /// Time after which an earlier start is accepted if the later one was not
--- a/packages/state/tests/crash_tracker_test.cpp
+++ b/packages/state/tests/crash_tracker_test.cpp
@@ -32,29 +32,29 @@
   CrashTrackerSettings mSettings;
   CrashTracker mTracker{ mSettings };
   ManualClock mClock;
-  const RequestDigest mCulprit = Request(1);
+  const RequestDigest mPoisonRequest = Request(1);
 };
 
 TEST_F(GivenACrashTracker, AThirdCrashUnderOneRequestQuarantinesIt)
 {
-  EXPECT_TRUE(Crash(mCulprit, 10));
-  EXPECT_TRUE(Crash(mCulprit, 11));
-  EXPECT_FALSE(IsRefused(mCulprit));
-  EXPECT_TRUE(Crash(mCulprit, 12));
-  EXPECT_TRUE(IsRefused(mCulprit));
+  EXPECT_TRUE(Crash(mPoisonRequest, 10));
+  EXPECT_TRUE(Crash(mPoisonRequest, 11));
+  EXPECT_FALSE(IsRefused(mPoisonRequest));
+  EXPECT_TRUE(Crash(mPoisonRequest, 12));
+  EXPECT_TRUE(IsRefused(mPoisonRequest));
   EXPECT_FALSE(IsRefused(Request(2)));
 }
 
 TEST_F(GivenACrashTracker, ReportsOfOneCrashByManyCountOnce)
 {
-  EXPECT_TRUE(Crash(mCulprit, 10));
+  EXPECT_TRUE(Crash(mPoisonRequest, 10));
   mClock.Advance(mSettings.mDuplicateWindow / 2);
-  EXPECT_FALSE(Crash(mCulprit, 10));
-  EXPECT_EQ(mTracker.Crashes(mCulprit, mClock.Now()), 1);
+  EXPECT_FALSE(Crash(mPoisonRequest, 10));
+  EXPECT_EQ(mTracker.Crashes(mPoisonRequest, mClock.Now()), 1);
   {
     SCOPED_TRACE("the same endpoint crashes again later");
     mClock.Advance(mSettings.mDuplicateWindow);
-    EXPECT_TRUE(Crash(mCulprit, 10));
+    EXPECT_TRUE(Crash(mPoisonRequest, 10));
   }
 }
 
@@ -63,54 +63,55 @@
   const auto crashedAt = mClock.Now();
   mClock.Advance(std::chrono::minutes(30));
   for (std::uint64_t endpoint = 0; endpoint < 3; ++endpoint) {
-    mTracker.Note({ mCulprit, endpoint }, crashedAt);
+    mTracker.Note({ mPoisonRequest, endpoint }, crashedAt);
   }
-  EXPECT_EQ(mTracker.QuarantineLeft(mCulprit, mClock.Now()),
+  EXPECT_EQ(mTracker.QuarantineLeft(mPoisonRequest, mClock.Now()),
             mSettings.mQuarantine - std::chrono::minutes(30));
 }
 
 TEST_F(GivenACrashTracker, ARequestThatCompletesAnywhereIsCleared)
 {
-  Crash(mCulprit, 10);
-  Crash(mCulprit, 11);
-  EXPECT_EQ(mTracker.Clear(mCulprit).size(), 2U);
-  EXPECT_TRUE(mTracker.Clear(mCulprit).empty());
-  Crash(mCulprit, 12);
-  EXPECT_FALSE(IsRefused(mCulprit));
+  Crash(mPoisonRequest, 10);
+  Crash(mPoisonRequest, 11);
+  EXPECT_EQ(mTracker.Clear(mPoisonRequest).size(), 2U);
+  EXPECT_TRUE(mTracker.Clear(mPoisonRequest).empty());
+  Crash(mPoisonRequest, 12);
+  EXPECT_FALSE(IsRefused(mPoisonRequest));
 }
 
 TEST_F(GivenACrashTracker, SuspicionEndsAfterTenMinutes)
 {
-  Crash(mCulprit, 10);
-  Crash(mCulprit, 11);
+  Crash(mPoisonRequest, 10);
+  Crash(mPoisonRequest, 11);
   mClock.Advance(mSettings.mSuspicionPeriod);
-  EXPECT_EQ(mTracker.Crashes(mCulprit, mClock.Now()), 0);
-  Crash(mCulprit, 12);
-  EXPECT_FALSE(IsRefused(mCulprit));
+  EXPECT_EQ(mTracker.Crashes(mPoisonRequest, mClock.Now()), 0);
+  Crash(mPoisonRequest, 12);
+  EXPECT_FALSE(IsRefused(mPoisonRequest));
 }
 
 TEST_F(GivenACrashTracker, AfterTheQuarantineASingleCrashRenewsIt)
 {
   for (std::uint64_t endpoint = 0; endpoint < 3; ++endpoint) {
-    Crash(mCulprit, endpoint);
+    Crash(mPoisonRequest, endpoint);
   }
   mClock.Advance(mSettings.mQuarantine);
-  EXPECT_FALSE(IsRefused(mCulprit));
-  Crash(mCulprit, 20);
-  EXPECT_TRUE(IsRefused(mCulprit));
+  EXPECT_FALSE(IsRefused(mPoisonRequest));
+  Crash(mPoisonRequest, 20);
+  EXPECT_TRUE(IsRefused(mPoisonRequest));
 }
 
 TEST_F(GivenACrashTracker, AQuarantineFromAnotherProcessLastsItsTime)
 {
-  EXPECT_TRUE(mTracker.Quarantine(mCulprit, mClock.Now(), Millis(500)));
-  EXPECT_FALSE(mTracker.Quarantine(mCulprit, mClock.Now(), Millis(400)));
-  EXPECT_TRUE(IsRefused(mCulprit));
+  EXPECT_TRUE(mTracker.Quarantine(mPoisonRequest, mClock.Now(), Millis(500)));
+  EXPECT_FALSE(mTracker.Quarantine(mPoisonRequest, mClock.Now(), Millis(400)));
+  EXPECT_TRUE(IsRefused(mPoisonRequest));
   mClock.Advance(Millis(500));
-  EXPECT_FALSE(IsRefused(mCulprit));
+  EXPECT_FALSE(IsRefused(mPoisonRequest));
   {
-    SCOPED_TRACE("never longer than the own setting");
-    mTracker.Quarantine(mCulprit, mClock.Now(), mSettings.mQuarantine * 9);
-    EXPECT_EQ(mTracker.QuarantineLeft(mCulprit, mClock.Now()),
+    SCOPED_TRACE("never longer than this process's own setting");
+    mTracker.Quarantine(
+      mPoisonRequest, mClock.Now(), mSettings.mQuarantine * 9);
+    EXPECT_EQ(mTracker.QuarantineLeft(mPoisonRequest, mClock.Now()),
               mSettings.mQuarantine);
   }
 }
@@ -118,20 +119,20 @@
 TEST_F(GivenACrashTracker, MemoryIsBoundedAndAFloodEvictsNoQuarantine)
 {
   for (std::uint64_t endpoint = 0; endpoint < 3; ++endpoint) {
-    Crash(mCulprit, endpoint);
+    Crash(mPoisonRequest, endpoint);
   }
   for (int i = 2; i < 20000; ++i) {
     Crash(Request(i), 50);
   }
   EXPECT_LE(mTracker.Suspects(), mSettings.mMaxRequests);
-  EXPECT_TRUE(IsRefused(mCulprit));
+  EXPECT_TRUE(IsRefused(mPoisonRequest));
   EXPECT_EQ(mTracker.Quarantined(mClock.Now()), 1U);
 }
 
 TEST_F(GivenACrashTracker, AProcessThatGetsAllReportsKnowsTheSame)
 {
   for (std::uint64_t endpoint = 0; endpoint < 3; ++endpoint) {
-    Crash(mCulprit, endpoint);
+    Crash(mPoisonRequest, endpoint);
     mClock.Advance(std::chrono::seconds(4));
   }
   Crash(Request(2), 2);
@@ -139,13 +140,13 @@
   for (const auto& report : mTracker.Reports(mClock.Now())) {
     other.Note(report.mReport, mClock.Now() - report.mAge);
   }
-  EXPECT_EQ(other.QuarantineLeft(mCulprit, mClock.Now()),
-            mTracker.QuarantineLeft(mCulprit, mClock.Now()));
+  EXPECT_EQ(other.QuarantineLeft(mPoisonRequest, mClock.Now()),
+            mTracker.QuarantineLeft(mPoisonRequest, mClock.Now()));
   EXPECT_EQ(other.Crashes(Request(2), mClock.Now()), 1);
   {
-    SCOPED_TRACE("those that are quarantined first");
+    SCOPED_TRACE("reports about quarantined requests come first");
     EXPECT_EQ(mTracker.Reports(mClock.Now()).front().mReport.mRequest,
-              mCulprit);
+              mPoisonRequest);
   }
 }
 
--- a/packages/state/tests/endpoint_availability_test.cpp
+++ b/packages/state/tests/endpoint_availability_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_EQ(Now(), Obstacle::kRemoved);
 }
 
-TEST_F(GivenAListedEndpoint, APermitIsAskedForAtTheChoiceAndHeldAtTheSend)
+TEST_F(GivenAListedEndpoint, APermitMayBeMissingAtTheChoiceButNotAtTheSend)
 {
   PermitNeed need{ true, false, mClock.Now() + Millis(10) };
   EXPECT_EQ(mEndpoint.ObstacleAt(mClock.Now(), need), Obstacle::kNoPermit);
--- a/packages/state/tests/endpoint_incarnation_test.cpp
+++ b/packages/state/tests/endpoint_incarnation_test.cpp
@@ -174,10 +174,10 @@
   ManualClock clock;
   clock.Advance(1s);
   PartRecordTable table(8);
-  for (const char* reader : { "a", "b" }) {
-    auto& record = table.At(std::string("part of ") + reader);
+  for (const char* endpoint : { "a", "b" }) {
+    auto& record = table.At(std::string("part of ") + endpoint);
     record.mPrefillStartedAt = clock.Now();
-    record.mPrefillEndpoint = reader;
+    record.mPrefillEndpoint = endpoint;
   }
   table.ForgetPrefillsOf("a");
   EXPECT_FALSE(table.At("part of a").IsPrefilling());
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -64,7 +64,7 @@
   ASSERT_TRUE(update);
   EXPECT_EQ(update->mPerSecond, 2.0);
   {
-    SCOPED_TRACE("but not a further one with the same rate");
+    SCOPED_TRACE("a further report of the same rate is not sent");
     EXPECT_FALSE(Note(AdvertisedRate(2.0)));
   }
   {
@@ -72,7 +72,7 @@
     EXPECT_EQ(Note(AdvertisedRate(0.5))->mPerSecond, 0.5);
   }
   {
-    SCOPED_TRACE("and relays that connect later get it");
+    SCOPED_TRACE("relays that connect later get the current rate");
     ASSERT_EQ(mLimits.Known().size(), 1U);
     EXPECT_EQ(mLimits.Known()[0].mPerSecond, 0.5);
   }
@@ -121,7 +121,7 @@
   EXPECT_FALSE(Ask(false).mIsGranted);
   EXPECT_TRUE(Ask(true).mIsGranted);
   {
-    SCOPED_TRACE("and leave what they don't take to the others");
+    SCOPED_TRACE("other requests get what urgent ones leave");
     mClock.Advance(Millis(750));
     EXPECT_TRUE(Ask(false).mIsGranted);
   }
@@ -145,7 +145,7 @@
   Note(AdvertisedRate(2.0));
   EXPECT_FALSE(Note({}, grant.mRateVersion));
   {
-    SCOPED_TRACE("nor one whose request was sent without a permit");
+    SCOPED_TRACE("nor does one whose request was sent without a permit");
     EXPECT_FALSE(Note({}, 0));
   }
 }
@@ -211,7 +211,7 @@
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(2300));
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(4300));
   {
-    SCOPED_TRACE("and no delay is very long");
+    SCOPED_TRACE("no delay exceeds ten seconds");
     for (int i = 0; i < 10; ++i) {
       EXPECT_LE(schedule.Next(0.1, 4, now), Millis(10000));
     }
--- a/packages/state/tests/limit_model_test.cpp
+++ b/packages/state/tests/limit_model_test.cpp
@@ -140,7 +140,7 @@
     }
   }
 
-  /// The list as seen by a process with a delay.
+  /// The list as seen by a process that learns of changes after aDelay.
   const std::vector<std::string>& ListAsOf(Millis aDelay) const
   {
     const auto found =
--- a/packages/state/tests/limit_shares_test.cpp
+++ b/packages/state/tests/limit_shares_test.cpp
@@ -198,7 +198,7 @@
   bool isOtherZone = false;
   for (const auto& source : sources) {
     EXPECT_EQ(source.mHost, names[OwnerOfShare(names, source.mKey)]);
-    SCOPED_TRACE("those of the own zone first");
+    SCOPED_TRACE("companions in the relay's own zone come first");
     EXPECT_FALSE(isOtherZone && hosts[source.mHost] == "a");
     isOtherZone = hosts[source.mHost] == "b";
   }
--- a/packages/state/tests/list_freshness_test.cpp
+++ b/packages/state/tests/list_freshness_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_TRUE(mList.IsBehind());
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(700));
   {
-    SCOPED_TRACE("until its own watch delivers it");
+    SCOPED_TRACE("the list's own watch delivers the change");
     mList.NoteListRevision(11, mClock.Now());
     EXPECT_FALSE(mList.IsBehind());
     EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
