--- a/packages/state/include/shuntjunction/state/endpoint_incarnation.h
+++ b/packages/state/include/shuntjunction/state/endpoint_incarnation.h
@@ -6,7 +6,7 @@
 
 #include "shuntjunction/state/clock.h"
 
-/// Distinguishes the incarnations of an endpoint, that is, its process starts.
+/// Distinguishes the incarnations of an endpoint, one per process start.
 namespace shuntjunction::state {
 
 /// One incarnation of an endpoint, identified by its start time.
@@ -43,7 +43,7 @@
 {
   kSame,   ///< the current incarnation, or unknown
   kNewer,  ///< another one, now current: former state is invalid
-  kFormer, ///< an incarnation that has ended; to be ignored
+  kFormer, ///< an earlier one, presumed to have ended; to be ignored
 };
 
 /// Time after which an earlier start is accepted if the later one was not
@@ -64,7 +64,7 @@
   /// Handles a report from any source; reports may arrive in any order.
   IncarnationUpdate Take(EndpointIncarnation aReported, TimePoint aNow);
 
-  /// Handles the endpoint's own answer to a query, which is always current.
+  /// Handles the endpoint's own response to a query, always current.
   IncarnationUpdate TakeSelfReport(EndpointIncarnation aReported);
 
   /// Accepts an earlier start whose grace period has ended; returns whether
--- a/packages/state/tests/endpoint_limits_test.cpp
+++ b/packages/state/tests/endpoint_limits_test.cpp
@@ -16,7 +16,7 @@
 constexpr LimitedEndpoint kSameHost{ 7, true };
 
 EndpointRate
-Named(double aPerSecond)
+AdvertisedRate(double aPerSecond)
 {
   return { RateNotice::kAdvertised, aPerSecond };
 }
@@ -60,19 +60,19 @@
 
 TEST_F(GivenAnOwner, TheFirstReportOfARateIsSentToAllRelays)
 {
-  const auto update = Note(Named(2.0));
+  const auto update = Note(AdvertisedRate(2.0));
   ASSERT_TRUE(update);
   EXPECT_EQ(update->mPerSecond, 2.0);
   {
-    SCOPED_TRACE("but not a further one with the same rate");
-    EXPECT_FALSE(Note(Named(2.0)));
+    SCOPED_TRACE("a further report of the same rate is not sent");
+    EXPECT_FALSE(Note(AdvertisedRate(2.0)));
   }
   {
     SCOPED_TRACE("a different rate is sent");
-    EXPECT_EQ(Note(Named(0.5))->mPerSecond, 0.5);
+    EXPECT_EQ(Note(AdvertisedRate(0.5))->mPerSecond, 0.5);
   }
   {
-    SCOPED_TRACE("and relays that connect later get it");
+    SCOPED_TRACE("relays that connect later get the current rate");
     ASSERT_EQ(mLimits.Known().size(), 1U);
     EXPECT_EQ(mLimits.Known()[0].mPerSecond, 0.5);
   }
@@ -81,7 +81,7 @@
 class ThatWasReportedARate : public GivenAnOwner
 {
 protected:
-  ThatWasReportedARate() { Note(Named(2.0)); }
+  ThatWasReportedARate() { Note(AdvertisedRate(2.0)); }
 };
 
 TEST_F(ThatWasReportedARate, ItStartsWithAnEmptyBucket)
@@ -121,13 +121,13 @@
   EXPECT_FALSE(Ask(false).mIsGranted);
   EXPECT_TRUE(Ask(true).mIsGranted);
   {
-    SCOPED_TRACE("and leave what they don't take to the others");
+    SCOPED_TRACE("other requests get what urgent ones leave");
     mClock.Advance(Millis(750));
     EXPECT_TRUE(Ask(false).mIsGranted);
   }
 }
 
-TEST_F(ThatWasReportedARate, AnAnswerWithoutOneEndsIt)
+TEST_F(ThatWasReportedARate, AResponseWithoutOneEndsIt)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
@@ -138,14 +138,14 @@
   EXPECT_TRUE(mLimits.Known().empty());
 }
 
-TEST_F(ThatWasReportedARate, AnOvertakenAnswerWithoutOneDoesNot)
+TEST_F(ThatWasReportedARate, AnOvertakenResponseWithoutOneDoesNot)
 {
   mClock.Advance(Millis(500));
   const auto grant = Ask();
-  Note(Named(2.0));
+  Note(AdvertisedRate(2.0));
   EXPECT_FALSE(Note({}, grant.mRateVersion));
   {
-    SCOPED_TRACE("nor one whose request was sent without a permit");
+    SCOPED_TRACE("nor does one whose request was sent without a permit");
     EXPECT_FALSE(Note({}, 0));
   }
 }
@@ -153,13 +153,13 @@
 TEST_F(ThatWasReportedARate, ALowerRateLeavesNothingOfTheFormerBurst)
 {
   mClock.Advance(Millis(30000));
-  Note(Named(0.5));
+  Note(AdvertisedRate(0.5));
   EXPECT_LE(GrantedWithin(std::chrono::seconds(4)), 4 * 0.5 + 0.5 + 2);
 }
 
 TEST_F(GivenAnOwner, ARateOfZeroStillAllowsAFewRequests)
 {
-  Note(Named(0));
+  Note(AdvertisedRate(0));
   EXPECT_EQ(GrantedWithin(std::chrono::seconds(9)), 2);
 }
 
@@ -173,9 +173,9 @@
 TEST_F(GivenAnOwner, ForAnEndpointWithoutCompanionItGrantsOnlyIfItIsTheOwner)
 {
   const LimitedEndpoint plain{ 7, false };
-  EXPECT_FALSE(Note(Named(2.0), 0, plain));
+  EXPECT_FALSE(Note(AdvertisedRate(2.0), 0, plain));
   mOwnership.SetHosts({ "10.0.0.1" }, mClock.Now());
-  EXPECT_TRUE(Note(Named(2.0), 0, plain));
+  EXPECT_TRUE(Note(AdvertisedRate(2.0), 0, plain));
   mClock.Advance(Millis(500));
   EXPECT_TRUE(Ask(true, plain).mIsGranted);
   {
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(GivenAnEndpointsAnswer, OnlyADecimalNumberOfRequestsIsARate)
+TEST(GivenAnEndpointsResponse, OnlyADecimalNumberOfRequestsIsARate)
 {
   EXPECT_EQ(ReadEndpointRate("2.3").mPerSecond, 2.3);
   EXPECT_EQ(ReadEndpointRate("0").mNotice, RateNotice::kAdvertised);
@@ -211,7 +211,7 @@
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(2300));
   EXPECT_EQ(schedule.Next(2.0, 4, now), Millis(4300));
   {
-    SCOPED_TRACE("and no delay is very long");
+    SCOPED_TRACE("no delay exceeds ten seconds");
     for (int i = 0; i < 10; ++i) {
       EXPECT_LE(schedule.Next(0.1, 4, now), Millis(10000));
     }
--- a/packages/state/tests/list_freshness_test.cpp
+++ b/packages/state/tests/list_freshness_test.cpp
@@ -1,4 +1,4 @@
-// A watched list, and what answers about other objects show about it.
+// A watched list, and what responses about other objects show about it.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
   ListFreshness mList;
 };
 
-TEST_F(GivenAWatchedList, AnAnswerOfAnUnchangedStoreConfirmsIt)
+TEST_F(GivenAWatchedList, AResponseOfAnUnchangedStoreConfirmsIt)
 {
   mClock.Advance(Millis(700));
   mList.NoteStoreRevision(10, mClock.Now());
@@ -30,7 +30,7 @@
   EXPECT_TRUE(mList.IsBehind());
   EXPECT_EQ(mList.Age(mClock.Now()), Millis(700));
   {
-    SCOPED_TRACE("until its own watch delivers it");
+    SCOPED_TRACE("the list's own watch delivers the change");
     mList.NoteListRevision(11, mClock.Now());
     EXPECT_FALSE(mList.IsBehind());
     EXPECT_EQ(mList.Age(mClock.Now()), Millis(0));
