--- a/packages/state/include/shuntjunction/state/json_reader.h
+++ b/packages/state/include/shuntjunction/state/json_reader.h
@@ -21,8 +21,10 @@
 Result<boost::json::value>
 ParseJson(std::string_view aText, std::string_view aWhat);
 
-/// Parses JSON to which several others contribute: invalid UTF-8 and deep
-/// nesting spoil only the part that contains them.
+/// Parses JSON with parts from several other writers.
+///
+/// Accepts invalid UTF-8 and deep nesting, so that they spoil only the part
+/// that contains them and not the whole text.
 ///
 /// Thread safety: pure.
 Result<boost::json::value>
--- a/packages/state/include/shuntjunction/state/object_mirror.h
+++ b/packages/state/include/shuntjunction/state/object_mirror.h
@@ -62,7 +62,7 @@
 class ObjectMirror
 {
 public:
-  /// @param aEpoch  of this mirror, another one after each start of a process
+  /// @param aEpoch  of this mirror; differs after each start of the process
   explicit ObjectMirror(std::uint64_t aEpoch);
 
   /// Merges all objects under a prefix, as of a revision.
@@ -89,8 +89,8 @@
     return mLastPlatformFailure;
   }
 
-  /// What another mirror lacks that has received all up to a sequence of an
-  /// epoch.
+  /// The update for another mirror that has received everything up to a
+  /// sequence of an epoch.
   MirrorUpdate UpdateSince(std::uint64_t aEpoch,
                            std::uint64_t aSequence,
                            TimePoint aNow) const;
--- a/packages/state/include/shuntjunction/state/order_machine.h
+++ b/packages/state/include/shuntjunction/state/order_machine.h
@@ -38,7 +38,7 @@
 {
   kReadFence,    ///< read the record
   kAcquireFence, ///< write Next(), on condition of Revision()
-  kDrain,        ///< accept no new work and wait for what runs
+  kDrain,        ///< accept no new work; wait for running requests
   kRecheckFence, ///< read the record again
   kSendOrder,    ///< send the order, with Fence()
   kCompleted,    ///< the order was answered, or its response was lost
@@ -51,7 +51,7 @@
 };
 
 /// State machine that decides from the platform's responses whether a companion
-/// may order.
+/// may send an order.
 ///
 ///     read fence --own token--> drain
 ///     read fence --another's token, or none--> acquire fence
@@ -62,11 +62,13 @@
 ///     recheck fence --own token--> send order
 ///     recheck fence --another's token, or no response--> lost
 ///
-/// A token belongs to one order for good, and a later order's token is higher,
-/// so that a delayed order cannot undo the next one.
+/// A token belongs to one order permanently, and a later order's token is
+/// higher, so that a delayed order cannot undo the next one.
+///
 /// An engine that checks tokens rejects orders that come too late. For one that
 /// ignores them the recheck leaves a window of one call, after which the later
-/// holder finds the engine in the wrong state and orders again.
+/// holder finds the engine in the wrong state and sends its order again.
+///
 /// Thread safety: none; owned by the companion.
 class OrderMachine
 {
@@ -88,7 +90,7 @@
   /// Handles the response to the write.
   void OnFenceWritten(const Result<std::uint64_t>& aRevision);
 
-  /// Nothing runs any more, or the time to drain is over.
+  /// The drain is complete or has timed out.
   void OnDrained();
 
   /// The order was answered, or its response was lost.
--- a/packages/state/include/shuntjunction/state/raw_object.h
+++ b/packages/state/include/shuntjunction/state/raw_object.h
@@ -20,7 +20,7 @@
   std::string mKey;
   std::uint64_t mRevision = 0; ///< platform revision of its last change
   std::string mValue;          ///< JSON text; empty when deleted
-  /// For how long the sender has known it; not compared.
+  /// Time since a process first received this revision; not compared.
   Millis mAge{ 0 };
 
   bool operator==(const RawObject& aOther) const
@@ -34,7 +34,7 @@
 boost::json::object
 WriteRawObject(const RawObject& aObject);
 
-/// Parses the object that a reader is at.
+/// Parses the object of a reader.
 RawObject
 ReadRawObject(JsonReader& aReader);
 
--- a/packages/state/include/shuntjunction/state/recent_changes.h
+++ b/packages/state/include/shuntjunction/state/recent_changes.h
@@ -64,9 +64,11 @@
   /// Sets the state of the configuration after the changes.
   void SetEndState(std::uint64_t aCursor, std::uint64_t aDigest);
 
-  /// Text for a peer that has a version; empty where these changes do not reach
-  /// back that far, or where it is not of this epoch. Version zero requests the
-  /// full configuration, which changes never are.
+  /// Serializes the changes for a peer that has a version.
+  ///
+  /// @return empty when the changes do not reach back that far, when the
+  /// version is of another epoch, or when it is zero: that requests the full
+  /// configuration, which changes never are
   std::string SerializeSince(std::uint64_t aEpoch,
                              std::uint64_t aPeerRevision) const;
 
--- a/packages/state/include/shuntjunction/state/relay_config.h
+++ b/packages/state/include/shuntjunction/state/relay_config.h
@@ -168,8 +168,7 @@
 /// An endpoint as listed in the platform.
 struct EndpointInfo
 {
-  /// After a restart it differs, or it is the same and mEndpointIncarnation
-  /// differs.
+  /// A restart changes it, or keeps it and changes mEndpointIncarnation.
   std::string mId;
   std::string mService;
   std::string mAddress; ///< "host:port"
--- a/packages/state/include/shuntjunction/state/settings.h
+++ b/packages/state/include/shuntjunction/state/settings.h
@@ -76,7 +76,7 @@
   Millis mIdlePeerTimeout{ 60000 }; ///< an unused companion is disconnected
 };
 
-/// What a companion runs next to.
+/// Kind of backend that a companion runs next to.
 enum class BackendKind : std::uint8_t
 {
   kEngine,
@@ -115,8 +115,8 @@
   Millis mWatchTimeout{ 30000 }; ///< maximum duration of one watch
   WatcherSettings mWatchers;
   Millis mDrainTimeout{ 60000 }; ///< maximum time that a stop waits for streams
-  /// How long a router that stops still accepts requests, until its load
-  /// balancer has noticed.
+  /// How long a stopping router still accepts requests, so that its load
+  /// balancer can notice the stop.
   Millis mStopNotice{ 2000 };
   LogFormat mLogFormat = LogFormat::kText;
   LogLevel mLogLevel = LogLevel::kInfo;
--- a/packages/state/include/shuntjunction/state/watchers.h
+++ b/packages/state/include/shuntjunction/state/watchers.h
@@ -15,9 +15,8 @@
 {
   std::size_t mPerZone = 3;   ///< companions per zone that watch
   std::size_t mAllBelow = 64; ///< in a smaller fleet all processes watch
-  Millis mQueryInterval{
-    1000
-  }; ///< of the others' queries, each to one watcher
+  /// Interval of the other processes' queries, each to one watcher.
+  Millis mQueryInterval{ 1000 };
 };
 
 /// The companions that watch the platform for an availability zone.
@@ -31,9 +30,10 @@
                std::string_view aZone,
                std::size_t aCount);
 
-/// The companions that a process queries although it watches itself.
+/// The companions that a process queries in addition to watching the platform
+/// itself.
 ///
-/// Each process has its own few, so that it needs few connections.
+/// Each process has its own small selection, so that it needs few connections.
 /// Thread safety: pure.
 std::vector<InstanceInfo>
 SelectPeers(const std::vector<InstanceInfo>& aInstances,
--- a/packages/state/include/shuntjunction/state/zone_watchers.h
+++ b/packages/state/include/shuntjunction/state/zone_watchers.h
@@ -14,13 +14,14 @@
 struct ZoneWatcherSettings
 {
   std::size_t mPerZone = 2; ///< engines whose companions watch: one may fail
-  /// In a fleet of fewer engines each process watches the store itself: all
-  /// their calls cost less than the delay when a zone's watcher is lost.
+  /// In a fleet of fewer engines each process watches the store itself: the
+  /// calls of all of them cost less than the delay after the loss of a zone's
+  /// watcher.
   std::size_t mAllBelow = 24;
 };
 
-/// Addresses of the engines whose companions watch the store for a zone, the
-/// one to be queried first in front.
+/// Addresses of the engines whose companions watch the store for a zone, in the
+/// order in which they are to be queried.
 ///
 /// Depends only on the list: processes with the same list select the same
 /// engines, without an election. When an engine leaves, the next one takes its
--- a/packages/state/src/claim_machine.cpp
+++ b/packages/state/src/claim_machine.cpp
@@ -20,7 +20,7 @@
 
 struct CreatedEvent
 {};
-struct UnknownResultEvent
+struct CreateFailedEvent
 {};
 struct OwnNonceEvent
 {};
@@ -53,7 +53,7 @@
   struct transition_table : boost::mpl::vector<
     //  from      event               to
     Row<Create,   CreatedEvent,       Execute>,
-    Row<Create,   UnknownResultEvent, ReadBack>,
+    Row<Create,   CreateFailedEvent,  ReadBack>,
     Row<Create,   TimeoutEvent,       Undecided>,
     Row<ReadBack, OwnNonceEvent,      Execute>,
     Row<ReadBack, DoneEvent,          Replay>,
@@ -107,7 +107,7 @@
   if (code != ErrorCode::kConflict && code != ErrorCode::kUnavailable) {
     mMachine->mMayHaveWritten = true;
   }
-  mMachine->process_event(UnknownResultEvent{});
+  mMachine->process_event(CreateFailedEvent{});
 }
 
 void
--- a/packages/state/src/config_store.cpp
+++ b/packages/state/src/config_store.cpp
@@ -345,8 +345,8 @@
     return MergeOutcome::kUnchanged;
   }
   if (changes->mCursor < mCursor.mRevision) {
-    // The objects up to there are held already; if they are the peer's, its
-    // version applies to them too.
+    // This configuration is complete up to a later revision than the peer's. If
+    // its objects are the peer's, the peer's version applies to it too.
     if (Digest(mObjects) != changes->mDigest) {
       return MergeOutcome::kOlder;
     }
--- a/packages/state/src/json_reader.cpp
+++ b/packages/state/src/json_reader.cpp
@@ -22,7 +22,7 @@
   return text;
 }
 
-/// Maximum nesting in JSON of other writers; fits our memory limits.
+/// Maximum nesting in JSON of other writers; bounds the memory for parsing.
 constexpr std::size_t kMaxUntrustedDepth = 512;
 
 Result<boost::json::value>
--- a/packages/state/src/object_mirror.cpp
+++ b/packages/state/src/object_mirror.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Maximum age that is sent; a higher one means the same as never.
+/// Maximum age that is sent; an older state is as outdated as one that was
+/// never received.
 constexpr std::int64_t kMaxAgeMs = 24LL * 3600 * 1000;
 
 std::int64_t
--- a/packages/state/tests/at_most_once_test.cpp
+++ b/packages/state/tests/at_most_once_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_FALSE(ReadClaimRecord("half a rec").has_value());
 }
 
-class WhoseAnswerWasLost : public GivenAClaim
+class WhoseResponseWasLost : public GivenAClaim
 {
 protected:
   void SetUp() override
@@ -87,25 +87,25 @@
   }
 };
 
-TEST_F(WhoseAnswerWasLost, ItsOwnNonceSettlesIt)
+TEST_F(WhoseResponseWasLost, ItsOwnNonceSettlesIt)
 {
   ReadBack("mine", "digest", false);
   EXPECT_EQ(mMachine.Step(), ClaimStep::kExecute);
 }
 
-TEST_F(WhoseAnswerWasLost, AnothersNonceSettlesItToo)
+TEST_F(WhoseResponseWasLost, AnothersNonceSettlesItToo)
 {
   ReadBack("another's", "digest", false);
   EXPECT_EQ(mMachine.Step(), ClaimStep::kHeldByOther);
 }
 
-TEST_F(WhoseAnswerWasLost, WithoutARecordItIsCreatedAgain)
+TEST_F(WhoseResponseWasLost, WithoutARecordItIsCreatedAgain)
 {
   mMachine.OnReadResult(std::optional<ClaimRecord>());
   EXPECT_EQ(mMachine.Step(), ClaimStep::kCreate);
 }
 
-TEST_F(WhoseAnswerWasLost, WithNoMoreTimeItIsNotRun)
+TEST_F(WhoseResponseWasLost, WithNoMoreTimeItIsNotRun)
 {
   mMachine.OnReadResult(
     Fail(ErrorCode::kTimeout, "test", "platform", "no answer"));
@@ -159,9 +159,9 @@
   EXPECT_FALSE(lifecycle.IsNotRun());
 }
 
-TEST_F(GivenARequest, ThatOneWasLostIsRememberedWhenItsClaimIsFoundTaken)
+TEST_F(GivenARequest, ALossIsRememberedWhenItsClaimIsFoundHeld)
 {
-  // The claim may then be its own; no earlier request need have made it.
+  // The claim may then be that of its own lost attempt, not of another request.
   RequestLifecycle lifecycle(Repeatability::kClaimed);
   lifecycle.Offered();
   EXPECT_FALSE(lifecycle.WasLost());
@@ -183,7 +183,7 @@
 }
 
 RC_GTEST_PROP(GeneratedClaims,
-              NoKeyRunsTwiceAndNotRunIsTrue,
+              NoKeyRunsTwiceAndNotRunReportsAreTrue,
               (const std::vector<std::uint8_t>& aSchedule))
 {
   const History history = ClaimSimulation(ClaimMechanisms{}).Run(aSchedule);
@@ -236,7 +236,7 @@
   EXPECT_GT(Search({ .mChecksNonce = false }).mExecutedTwice, 0);
 }
 
-TEST_F(WithoutAMechanism, WithoutUncertaintyNotRunIsReportedOfWhatRan)
+TEST_F(WithoutAMechanism, WithoutTrackingUncertaintyNotRunIsReportedFalsely)
 {
   EXPECT_GT(Search({ .mTracksUncertainty = false }).mFalseNotRun, 0);
 }
--- a/packages/state/tests/claim_retention_test.cpp
+++ b/packages/state/tests/claim_retention_test.cpp
@@ -81,13 +81,13 @@
   Add(900);
   EXPECT_EQ(Expired(kNow + 3'600'000), 0U);
   {
-    SCOPED_TRACE("nor does a claimant's");
+    SCOPED_TRACE("nor does a claimant's clock that runs ahead");
     Add(-3'600'000);
     EXPECT_EQ(Expired(), 0U);
   }
 }
 
-TEST_F(GivenAShard, WhatCannotBeReadIsKept)
+TEST_F(GivenAShard, UnreadableClaimsAreKept)
 {
   Add(0);
   mObjects.push_back({ "claims/000/t/x", 1, "half a rec" });
--- a/packages/state/tests/claim_simulation.h
+++ b/packages/state/tests/claim_simulation.h
@@ -28,8 +28,8 @@
 /// Runs one schedule.
 ///
 /// Each pair of bytes of a schedule is one step: a new request, an attempt, a
-/// step of a companion with a response, a lost or a delayed one, a crash, a
-/// timeout, a delayed write that takes effect.
+/// step of a companion whose call is answered, lost or delayed, a crash, a
+/// timeout, or a delayed write that takes effect.
 class ClaimSimulation
 {
 public:
--- a/packages/state/tests/config_test.cpp
+++ b/packages/state/tests/config_test.cpp
@@ -17,7 +17,7 @@
 namespace shuntjunction::state::history {
 namespace {
 
-constexpr std::string_view kGoodSettings = R"({
+constexpr std::string_view kValidSettings = R"({
   // A router of the fleet.
   "name": "r1", "role": "router", "zone": "imanta",
   "platform": "127.0.0.1:2000", "secret": "sixteen letters!",
@@ -26,7 +26,7 @@
 
 TEST(GivenSettings, CommentsAndTrailingCommasAreRead)
 {
-  const auto settings = ReadSettings(kGoodSettings, "r1.json");
+  const auto settings = ReadSettings(kValidSettings, "r1.json");
   ASSERT_TRUE(settings.has_value()) << settings.error().Describe();
   EXPECT_EQ(settings->mRouter.mChooser.mProbes, 2U);
   EXPECT_EQ(settings->mRouter.mChooser.mZone, "imanta");
@@ -37,7 +37,7 @@
 protected:
   static std::string Mistake(std::string_view aFrom, std::string_view aTo)
   {
-    std::string text(kGoodSettings);
+    std::string text(kValidSettings);
     text.replace(text.find(aFrom), aFrom.size(), aTo);
     const auto settings = ReadSettings(text, "r1.json");
     return settings ? "" : settings.error().mText;
@@ -116,7 +116,7 @@
   ConfigStore mStore;
 };
 
-TEST_F(GivenAStore, AListThenChangesComeIntoForce)
+TEST_F(GivenAStore, AListThenChangesAreActivated)
 {
   EXPECT_EQ(mStore.ApplyList(5, { Model(3, 1) }), MergeOutcome::kApplied);
   EXPECT_EQ(Weights(), 1U);
@@ -124,7 +124,7 @@
   EXPECT_EQ(mStore.ApplyChanges(7, { Model(7, 2) }), MergeOutcome::kApplied);
   EXPECT_EQ(Weights(), 2U);
   {
-    SCOPED_TRACE("a deletion too");
+    SCOPED_TRACE("a deletion is applied too");
     mStore.ApplyChanges(9, { { "config/models/m", 9, "" } });
     EXPECT_EQ(Weights(), 0U);
     EXPECT_EQ(mStore.Version().mRevision, 9U);
@@ -144,14 +144,14 @@
   void SetUp() override { mStore.ApplyList(10, { Model(8, 4) }); }
 };
 
-TEST_F(InForce, OlderAnswersChangeNothing)
+TEST_F(InForce, OlderResponsesChangeNothing)
 {
   EXPECT_EQ(mStore.ApplyList(9, { Model(7, 3) }), MergeOutcome::kOlder);
   EXPECT_EQ(mStore.ApplyChanges(9, { Model(9, 5) }), MergeOutcome::kOlder);
   EXPECT_EQ(Weights(), 4U);
 }
 
-TEST_F(InForce, WritesElsewhereInThePlatformAreNoNewVersion)
+TEST_F(InForce, WritesElsewhereInThePlatformDoNotChangeTheVersion)
 {
   EXPECT_EQ(mStore.ApplyChanges(500, {}), MergeOutcome::kUnchanged);
   EXPECT_EQ(mStore.ApplyList(900, { Model(8, 4) }), MergeOutcome::kUnchanged);
@@ -159,7 +159,7 @@
   EXPECT_EQ(mStore.Cursor().mRevision, 900U);
 }
 
-TEST_F(InForce, ABadObjectIsQuarantinedAndTheLastGoodOneStays)
+TEST_F(InForce, AnInvalidObjectIsQuarantinedAndTheLastValidOneStays)
 {
   mStore.ApplyChanges(11, { { "config/models/m", 11, R"({"weights":"x"})" } });
   EXPECT_EQ(Weights(), 4U);
@@ -167,7 +167,7 @@
   EXPECT_NE(mStore.Current()->mQuarantined[0].mReason.find("weights"),
             std::string::npos);
   {
-    SCOPED_TRACE("a full list with it keeps the good one as well");
+    SCOPED_TRACE("a full list with the invalid object keeps the valid one too");
     mStore.ApplyList(12,
                      { { "config/models/m", 11, R"({"weights":"x"})" },
                        { "config/models/n", 12, R"({"weights":1})" } });
@@ -188,7 +188,7 @@
   }
 }
 
-TEST_F(InForce, ARestoredPlatformIsFollowedOnlyInANewEpoch)
+TEST_F(InForce, ARestoredPlatformIsAcceptedOnlyInANewEpoch)
 {
   EXPECT_EQ(mStore.ApplyList(6, { Model(5, 1) }), MergeOutcome::kOlder);
   EXPECT_EQ(Weights(), 4U);
@@ -216,7 +216,7 @@
   EXPECT_EQ(late.Version(), mStore.Version());
   EXPECT_EQ(late.Cursor().mRevision, 20U);
   {
-    SCOPED_TRACE("but not for other objects");
+    SCOPED_TRACE("but not if its objects differ");
     ConfigStore other;
     other.ApplyList(20, { Model(3, 1) });
     EXPECT_EQ(*other.ApplyPeer(mStore.Serialize(), "p"), MergeOutcome::kOlder);
--- a/packages/state/tests/engine_simulation.h
+++ b/packages/state/tests/engine_simulation.h
@@ -8,11 +8,11 @@
 #include "shuntjunction/state/late_requests.h"
 #include "shuntjunction/state/waiting_tokens.h"
 
-/// Simulates an engine in virtual time, with callers that use the production
-/// code's decisions.
+/// Simulates an engine in virtual time; the queueing decisions are those of the
+/// production code.
 namespace shuntjunction::state {
 
-/// A request and what became of it.
+/// A request and its outcome.
 struct SimulatedRequest
 {
   Millis mArrival{ 0 };
@@ -41,8 +41,8 @@
   kByObjectiveRejecting, ///< the same, and LateRequests says which are rejected
 };
 
-/// Plays requests, sorted by arrival, on an engine that processes one prompt
-/// after the other: the most urgent first, of equals the one that came first.
+/// Simulates requests, sorted by arrival, on an engine that processes one
+/// prompt at a time: the most urgent first, and equally urgent ones by arrival.
 /// Callers give up after their timeout.
 class EngineSimulation
 {
--- a/packages/state/tests/history_test.cpp
+++ b/packages/state/tests/history_test.cpp
@@ -16,7 +16,7 @@
   History mHistory;
 };
 
-TEST_F(GivenAHistory, OneRunAKeyIsAcceptedAndTwoAreNot)
+TEST_F(GivenAHistory, OneExecutionPerKeyIsAcceptedAndTwoAreNot)
 {
   mHistory.mExecuted = { { "k", 1 }, { "other", 2 } };
   EXPECT_TRUE(CheckAtMostOnce(mHistory).empty());
@@ -24,7 +24,7 @@
   EXPECT_EQ(CheckAtMostOnce(mHistory).size(), 1U);
 }
 
-TEST_F(GivenAHistory, NotRunIsRejectedWhereItRan)
+TEST_F(GivenAHistory, AFalseNotRunReportIsRejected)
 {
   mHistory.mReportedOutcomes = { { 1, false, RunState::kNotRun } };
   EXPECT_TRUE(CheckNotRunReports(mHistory).empty());
@@ -34,14 +34,14 @@
   EXPECT_TRUE(CheckNotRunReports(mHistory).empty());
 }
 
-TEST_F(GivenAHistory, WholeStreamsAreAccepted)
+TEST_F(GivenAHistory, CompleteStreamsAreAccepted)
 {
   mHistory.mTokens = { { 1, "a" }, { 1, "b" } };
   mHistory.mStreams = { { 1, true } };
   EXPECT_TRUE(CheckStreams(mHistory).empty());
 }
 
-TEST_F(GivenAHistory, CutStreamsMustNotLookWhole)
+TEST_F(GivenAHistory, TruncatedStreamsMustNotLookComplete)
 {
   mHistory.mTokens = { { 1, "a" } };
   mHistory.mStreams = { { 1, false } };
@@ -62,7 +62,7 @@
   EXPECT_FALSE(CheckStreams(mHistory).empty());
 }
 
-TEST_F(GivenAHistory, AConfigurationThatGoesBackIsRejected)
+TEST_F(GivenAHistory, ARevertedConfigurationIsRejected)
 {
   mHistory.mActiveConfigs = { { "r1", 4 }, { "r2", 3 }, { "r1", 5 } };
   EXPECT_TRUE(CheckConfigNeverReverts(mHistory).empty());
@@ -79,7 +79,7 @@
   EXPECT_EQ(CheckFencesNeverDecrease(mHistory).size(), 1U);
 }
 
-TEST_F(GivenAHistory, TwoHoldersOfATokenAndOneWhoSawALaterAreRejected)
+TEST_F(GivenAHistory, TwoHoldersOfAFenceAndOneThatSawALaterFenceAreRejected)
 {
   mHistory.mExecutedOrders = { { "a", 1, 1 }, { "b", 1, 1 } };
   EXPECT_EQ(CheckFenceHolders(mHistory).size(), 1U);
--- a/packages/state/tests/object_mirror_test.cpp
+++ b/packages/state/tests/object_mirror_test.cpp
@@ -75,7 +75,7 @@
   EXPECT_EQ(KeysOf(*mMirror.ChangesAfter("e/", 12, Now())),
             (Keys{ "e/a gone" }));
   {
-    SCOPED_TRACE("what was before the first list is not known");
+    SCOPED_TRACE("changes before the first list are not known");
     EXPECT_FALSE(mMirror.ChangesAfter("e/", 9, Now()).has_value());
     EXPECT_FALSE(mMirror.ChangesAfter("f/", 99, Now()).has_value());
   }
@@ -103,10 +103,10 @@
   EXPECT_EQ(mMirror.ChangesAfter("e/", 11, Now())->size(), kMaxMirroredChanges);
 }
 
-class ThatAnotherAsks : public GivenAMirror
+class ThatAnotherMirrorQueries : public GivenAMirror
 {
 protected:
-  ThatAnotherAsks() { ApplyUpdate(RequestUpdate(0, 0)); }
+  ThatAnotherMirrorQueries() { ApplyUpdate(RequestUpdate(0, 0)); }
 
   void ApplyUpdate(const MirrorUpdate& aUpdate)
   {
@@ -118,7 +118,7 @@
   std::uint64_t mSequence = 0;
 };
 
-TEST_F(ThatAnotherAsks, ItReceivesAllOnceAndThenChanges)
+TEST_F(ThatAnotherMirrorQueries, ItReceivesAllOnceAndThenChanges)
 {
   EXPECT_EQ(KeysOf(mOther.List("e/", Now())), (Keys{ "e/a", "e/b" }));
   Change({ "e/a", 13, "" });
@@ -131,19 +131,19 @@
   EXPECT_TRUE(RequestUpdate(7, mSequence).mChanges.empty());
 }
 
-TEST_F(ThatAnotherAsks, AfterAnotherEpochItReceivesAll)
+TEST_F(ThatAnotherMirrorQueries, AfterAnotherEpochItReceivesAll)
 {
   EXPECT_TRUE(RequestUpdate(6, mSequence).mIsWhole);
   EXPECT_TRUE(RequestUpdate(7, mSequence + 1).mIsWhole);
 }
 
-TEST_F(ThatAnotherAsks, ItsWatchesFromBeforeHaveAGap)
+TEST_F(ThatAnotherMirrorQueries, EarlierWatchesHaveAGap)
 {
   EXPECT_FALSE(mOther.ChangesAfter("e/", 9, Now()).has_value());
   EXPECT_TRUE(mOther.ChangesAfter("e/", 10, Now()).has_value());
 }
 
-TEST_F(ThatAnotherAsks, EachStatusKeepsItsAge)
+TEST_F(ThatAnotherMirrorQueries, EachStatusKeepsItsAge)
 {
   Change({ "e/c", 12, "3" });
   mMirror.NotePlatformFailure(Now());
@@ -211,7 +211,7 @@
   }
 }
 
-TEST_F(GivenAFleet, ASmallOneHasNone)
+TEST_F(GivenAFleet, ASmallFleetHasNone)
 {
   mEngines.resize(mSettings.mAllBelow - 1);
   EXPECT_TRUE(Watchers().empty());
@@ -231,8 +231,8 @@
                       (std::vector<std::uint16_t> aDelays))
 {
   const TimePoint begin{ 100s };
-  const auto delay = [&](std::size_t aIndex, int aMost) {
-    return Millis(aIndex < aDelays.size() ? aDelays[aIndex] % aMost : 0);
+  const auto delay = [&](std::size_t aIndex, int aMax) {
+    return Millis(aIndex < aDelays.size() ? aDelays[aIndex] % aMax : 0);
   };
   const auto removedAt = begin + delay(0, 4000);
   Freshness watcher;
--- a/packages/state/tests/order_test.cpp
+++ b/packages/state/tests/order_test.cpp
@@ -23,10 +23,10 @@
 
 /// Simulates two companions of one endpoint, its engine and the platform.
 ///
-/// Each pair of bytes of a schedule is one step: of a companion with a
-/// response, a lost one or a delayed effect; a restart; a new configuration
-/// that one companion has received. A companion that gets no steps for long is
-/// one that was paused.
+/// Each pair of bytes of a schedule is one step: a step of a companion whose
+/// call is answered, lost or delayed; a restart; a new configuration, or its
+/// arrival at one companion; a delayed effect. A companion that gets no step
+/// for a long time represents a paused one.
 class OrderSimulation
 {
 public:
@@ -214,8 +214,8 @@
     }
   }
 
-  /// The faults end: delayed effects happen, and all get the latest
-  /// configuration.
+  /// Continues without faults: applies the delayed effects and gives every
+  /// companion the latest configuration.
   void RunWithoutFaults()
   {
     while (!mDelayedWrites.empty() || !mDelayedOrders.empty()) {
@@ -254,7 +254,7 @@
 }
 
 RC_GTEST_PROP(GeneratedOrders,
-              AnEngineThatIgnoresTokensConvergesAllTheSame,
+              AnEngineThatIgnoresTokensAlsoConverges,
               (const std::vector<std::uint8_t>& aSchedule))
 {
   OrderSimulation simulation({ .mEngineChecksFences = false });
--- a/packages/state/tests/recent_changes_test.cpp
+++ b/packages/state/tests/recent_changes_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_FALSE(young.Recent().SerializeSince(0, 3).empty());
 }
 
-TEST_F(GivenTwoProcesses, WhatIsKeptIsBounded)
+TEST_F(GivenTwoProcesses, TheKeptChangesAreBounded)
 {
   for (std::uint64_t i = 0; i < 2 * kMaxRecentChanges; ++i) {
     mWatcher.ApplyChanges(100 + i, { Model("m" + std::to_string(i), 100 + i) });
--- a/packages/state/tests/watchers_test.cpp
+++ b/packages/state/tests/watchers_test.cpp
@@ -46,7 +46,7 @@
   WatcherSettings mSettings;
 };
 
-TEST_F(GivenAFleetOfThreeZones, ThreeCompanionsAZoneWatch)
+TEST_F(GivenAFleetOfThreeZones, ThreeCompanionsPerZoneWatch)
 {
   EXPECT_EQ(CountWatching(mInstances), 9U);
   for (const auto& watcher : SelectWatchers(mInstances, "zone-1", 3)) {
@@ -55,7 +55,7 @@
   }
 }
 
-TEST_F(GivenAFleetOfThreeZones, AListInAnotherOrderNamesTheSame)
+TEST_F(GivenAFleetOfThreeZones, AListInAnotherOrderSelectsTheSame)
 {
   const auto before = WatcherNames("zone-2");
   std::reverse(mInstances.begin(), mInstances.end());
