--- a/packages/state/tests/claim_simulation.cpp
+++ b/packages/state/tests/claim_simulation.cpp
@@ -130,7 +130,7 @@
       return;
   }
   if (!mMechanisms.mReadsBack) {
-    machine.OnCreateResult(++mRevision); // It assumes success.
+    machine.OnCreateResult(++mRevision); // It assumes that it succeeded.
     return;
   }
   machine.OnCreateResult(NoResponse());
--- a/packages/state/tests/config_test.cpp
+++ b/packages/state/tests/config_test.cpp
@@ -174,7 +174,7 @@
     EXPECT_EQ(Weights(), 4U);
   }
   {
-    SCOPED_TRACE("a peer that starts receives both");
+    SCOPED_TRACE("a peer that starts receives the valid and the invalid form");
     ConfigStore peer;
     ASSERT_TRUE(peer.ApplyPeer(mStore.Serialize(), "peer").has_value());
     EXPECT_EQ(peer.Current()->mModels.at("m").mWeights, 4U);
@@ -321,9 +321,11 @@
   }
 
   /// The changes since a version if they reach back that far, else everything.
-  static std::string PeerText(const ConfigStore& aPeer, ConfigVersion aHave)
+  static std::string PeerText(const ConfigStore& aPeer,
+                              ConfigVersion aPeerVersion)
   {
-    auto text = aPeer.Recent().SerializeSince(aHave.mEpoch, aHave.mRevision);
+    auto text = aPeer.Recent().SerializeSince(aPeerVersion.mEpoch,
+                                              aPeerVersion.mRevision);
     return text.empty() ? aPeer.Serialize() : text;
   }
 
--- a/packages/state/tests/history.cpp
+++ b/packages/state/tests/history.cpp
@@ -101,10 +101,12 @@
     const auto [holder, isNew] =
       holders.try_emplace(order.mFence, order.mHolder);
     if (!isNew && holder->second != order.mHolder) {
-      violations.push_back("two holders of " + std::to_string(order.mFence));
+      violations.push_back("two holders of fencing token " +
+                           std::to_string(order.mFence));
     }
     if (order.mLastSeenFence > order.mFence) {
-      violations.push_back(order.mHolder + " ordered with " +
+      violations.push_back(order.mHolder +
+                           " sent an order with fencing token " +
                            std::to_string(order.mFence) + " though it saw " +
                            std::to_string(order.mLastSeenFence));
     }
--- a/packages/state/tests/recent_changes_test.cpp
+++ b/packages/state/tests/recent_changes_test.cpp
@@ -58,7 +58,8 @@
     third.ApplyList(15, { Model("b", 8), Model("c", 12), Model("d", 14) });
     const auto passed = mOther.Recent().SerializeSince(0, 15);
     ASSERT_FALSE(passed.empty());
-    EXPECT_FALSE(third.ApplyPeer(passed, "o")); // It lacks version 15.
+    // Its version is 14: the deletion at 15 left no object in its list.
+    EXPECT_FALSE(third.ApplyPeer(passed, "o"));
     EXPECT_EQ(*third.ApplyPeer(mOther.Serialize(), "o"),
               MergeOutcome::kApplied);
   }
--- a/packages/state/tests/schedules.h
+++ b/packages/state/tests/schedules.h
@@ -12,10 +12,10 @@
 void
 ForEachSchedule(int aCount, Function aRun)
 {
-  constexpr std::size_t kSteps = 160;
+  constexpr std::size_t kScheduleBytes = 160;
   for (int seed = 0; seed < aCount; ++seed) {
     std::mt19937 random(static_cast<unsigned>(seed));
-    std::vector<std::uint8_t> schedule(kSteps);
+    std::vector<std::uint8_t> schedule(kScheduleBytes);
     for (auto& step : schedule) {
       step = static_cast<std::uint8_t>(random());
     }
