--- a/packages/state/tests/recent_changes_test.cpp
+++ b/packages/state/tests/recent_changes_test.cpp
@@ -58,7 +58,8 @@
     third.ApplyList(15, { Model("b", 8), Model("c", 12), Model("d", 14) });
     const auto passed = mOther.Recent().SerializeSince(0, 15);
     ASSERT_FALSE(passed.empty());
-    EXPECT_FALSE(third.ApplyPeer(passed, "o")); // It lacks version 15.
+    // Its version is 14: the deletion at 15 left no object in its list.
+    EXPECT_FALSE(third.ApplyPeer(passed, "o"));
     EXPECT_EQ(*third.ApplyPeer(mOther.Serialize(), "o"),
               MergeOutcome::kApplied);
   }
@@ -109,7 +110,7 @@
   EXPECT_FALSE(young.Recent().SerializeSince(0, 3).empty());
 }
 
-TEST_F(GivenTwoProcesses, WhatIsKeptIsBounded)
+TEST_F(GivenTwoProcesses, TheKeptChangesAreBounded)
 {
   for (std::uint64_t i = 0; i < 2 * kMaxRecentChanges; ++i) {
     mWatcher.ApplyChanges(100 + i, { Model("m" + std::to_string(i), 100 + i) });
