--- a/packages/coordination/include/shuntjunction/coordination/config_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/config_feed.h
@@ -27,7 +27,7 @@
   SharedInstances mInstances =
     std::make_shared<const std::vector<state::InstanceInfo>>();
   std::uint64_t mInstancesRevision = 0; ///< revision of mInstances
-  /// Serialized; null before the first.
+  /// Serialized configuration; null before the first.
   std::shared_ptr<const std::string> mText;
   std::shared_ptr<const std::string> mInstancesText;
   std::shared_ptr<const state::RecentChanges> mRecent;
--- a/packages/coordination/include/shuntjunction/coordination/engine_news.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_news.h
@@ -119,7 +119,7 @@
   /// @param aOnCrashReports  called with other relays' crash reports
   /// @param aOnRateNews  called with companions' reports of endpoints' rates
   /// @param aOnConnectionEnd  called with the host of a companion whose
-  ///              connection was ended by its machine, not given up for silence
+  ///              connection its machine ended; not after a silence timeout
   EngineNewsClient(transport::asio::io_context& aContext,
                    transport::ChannelIdentity aIdentity,
                    std::uint16_t aPort,
@@ -153,18 +153,18 @@
   /// unreachable or does not answer in time.
   transport::Task<std::optional<state::ShareGrant>> RequestShare(
     std::string aHost,
-    state::ShareRequest aAsk);
+    state::ShareRequest aRequest);
 
   /// Returns the unused amount of a share; dropped while the companion is
   /// unreachable.
   void ReturnShare(const std::string& aHost,
-                   const protocol::LimitReturn& aBack);
+                   const protocol::LimitReturn& aReturn);
 
   /// Requests a permit for an endpoint from the companion of a host; empty when
   /// it is unreachable or does not answer in time.
   transport::Task<std::optional<state::PlaceGrant>> RequestPermit(
     std::string aHost,
-    state::PlaceAsk aAsk);
+    state::PlaceAsk aRequest);
 
   /// Returns a permit; dropped while the companion is unreachable.
   void ReturnPermit(const std::string& aHost, state::LimitHash aEndpoint);
--- a/packages/coordination/include/shuntjunction/coordination/relay_codec.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_codec.h
@@ -14,7 +14,8 @@
 
 /// Encoding of a platform's requests, answers and objects.
 ///
-/// An adapter implements these interfaces; no other code knows the names.
+/// An adapter implements these interfaces; no other code knows the names of
+/// header fields and objects.
 namespace shuntjunction::coordination {
 
 /// Information read from a caller's request.
@@ -79,7 +80,7 @@
   virtual bool MayForwardField(std::string_view aName) const = 0;
 
   /// Appends the relay's own fields to a header, each line terminated.
-  virtual void AppendForwardingFields(const ForwardingInfo& aHandOver,
+  virtual void AppendForwardingFields(const ForwardingInfo& aInfo,
                                       std::string& aHeader) const = 0;
 
   /// Appends the id of the request to the header of an answer that the relay
--- a/packages/coordination/include/shuntjunction/coordination/relay_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_feed.h
@@ -25,7 +25,7 @@
 /// started.
 struct WeightsHistory
 {
-  /// One version.
+  /// A version and the time at which it became known.
   struct VersionRecord
   {
     std::uint64_t mVersion = 0;
--- a/packages/coordination/src/engine_news_client.cpp
+++ b/packages/coordination/src/engine_news_client.cpp
@@ -31,11 +31,12 @@
 /// engine's prefill.
 constexpr std::int64_t kMinTokenChange = 1000;
 
-/// Companions that forward a crash: one of them may be about to stop itself.
+/// Number of companions that forward a crash report: more than one, since one
+/// may be about to stop.
 constexpr std::size_t kCrashForwarders = 2;
 
 /// Wait for a companion's grant: longer than a machine pauses when its
-/// processor quota is used up. Another companion is asked after it.
+/// processor quota is used up. Afterwards another companion is asked.
 constexpr Millis kGrantTimeout{ 100 };
 
 /// Pauses between two attempts to reach a companion.
@@ -338,30 +339,30 @@
 }
 
 Task<std::optional<state::ShareGrant>>
-EngineNewsClient::RequestShare(std::string aHost, state::ShareRequest aAsk)
+EngineNewsClient::RequestShare(std::string aHost, state::ShareRequest aRequest)
 {
   const auto reply =
     co_await mShared->RequestFromCompanion<protocol::LimitGrant>(
       std::move(aHost), [&](std::uint32_t aId) {
-        return protocol::LimitAsk{ aId, aAsk };
+        return protocol::LimitAsk{ aId, aRequest };
       });
   co_return reply ? std::optional(reply->mGrant) : std::nullopt;
 }
 
 void
 EngineNewsClient::ReturnShare(const std::string& aHost,
-                              const protocol::LimitReturn& aBack)
+                              const protocol::LimitReturn& aReturn)
 {
-  mShared->Send(aHost, aBack);
+  mShared->Send(aHost, aReturn);
 }
 
 Task<std::optional<state::PlaceGrant>>
-EngineNewsClient::RequestPermit(std::string aHost, state::PlaceAsk aAsk)
+EngineNewsClient::RequestPermit(std::string aHost, state::PlaceAsk aRequest)
 {
   const auto reply =
     co_await mShared->RequestFromCompanion<protocol::PlaceGrant>(
       std::move(aHost), [&](std::uint32_t aId) {
-        return protocol::PlaceAsk{ aId, aAsk };
+        return protocol::PlaceAsk{ aId, aRequest };
       });
   co_return reply ? std::optional(reply->mGrant) : std::nullopt;
 }
--- a/packages/coordination/src/relay.cpp
+++ b/packages/coordination/src/relay.cpp
@@ -26,14 +26,14 @@
 constexpr Millis kRatesInterval{ 1000 };
 /// Connections accepted in one turn, so that other work goes on.
 constexpr int kMaxAcceptsPerTurn = 64;
-/// For files, the store, listening sockets, checks of the load balancer, and
-/// processes that query this one.
+/// Descriptors reserved for files, the store, listening sockets, checks of the
+/// load balancer, and processes that query this one.
 constexpr std::int64_t kReservedDescriptors = 300;
 /// Pause after a connection could not be accepted.
 constexpr Millis kAcceptPause{ 50 };
 
 /// Serves a connection, or closes it unread while there is no room: its caller
-/// then tries another relay at once instead of waiting here in vain.
+/// then tries another relay at once instead of waiting for one without room.
 void
 BeginSession(const std::shared_ptr<Relay::Core>& aCore,
              asio::ip::tcp::socket aSocket)
@@ -51,9 +51,9 @@
   transport::Spawn(aCore->mDependencies.mContext, session->Run());
 }
 
-/// Accepts the connections that are pending already. Accepting one per turn of
-/// all other work would leave callers unread in a burst, and nothing else would
-/// reveal it.
+/// Accepts the connections that are already pending. Accepting only one per
+/// turn of the event loop would leave callers waiting in a burst, a delay that
+/// nothing else measures.
 void
 AcceptWaiting(const std::shared_ptr<Relay::Core>& aCore)
 {
@@ -261,7 +261,8 @@
     return tl::unexpected(acceptor.error());
   }
   mCore->mAcceptor = *acceptor;
-  boost::system::error_code ignored; // It would then accept one at a time.
+  // AcceptWaiting needs this, so that accept() returns when none is pending.
+  boost::system::error_code ignored;
   mCore->mAcceptor->non_blocking(true, ignored);
   transport::Spawn(mCore->mDependencies.mContext, Accept(mCore));
   transport::Spawn(mCore->mDependencies.mContext, CloseStaleConnections(mCore));
--- a/packages/coordination/src/relay_attempt.cpp
+++ b/packages/coordination/src/relay_attempt.cpp
@@ -57,31 +57,31 @@
     case state::Obstacle::kRecovering:
       return AttemptOutcome::kCooldown;
     case state::Obstacle::kNoPermit:
-      return AttemptOutcome::kNoPlace;
+      return AttemptOutcome::kNoPermit;
     case state::Obstacle::kNone:
     case state::Obstacle::kRemoved:
     case state::Obstacle::kDraining:
       break;
   }
-  return AttemptOutcome::kLeft;
+  return AttemptOutcome::kLeaving;
 }
 
 /// The head of a request as an endpoint gets it.
 std::string
 RequestHead(const RelayRequest& aRequest,
             const RelayCodec& aCodec,
-            const ForwardingInfo& aHandOver)
+            const ForwardingInfo& aInfo)
 {
   std::string head =
     aRequest.mMethod + " " + aRequest.mTarget + " HTTP/1.1\r\n";
   const auto connection = aRequest.Field("Connection");
-  const bool isResumed = !aHandOver.mResumeAfter.empty();
+  const bool isResumed = !aInfo.mResumeAfter.empty();
   for (const auto& field : aRequest.mFields) {
     if (IsForwarded(aCodec, field.mName, connection, isResumed)) {
       head += field.mName + ": " + field.mValue + "\r\n";
     }
   }
-  aCodec.AppendForwardingFields(aHandOver, head);
+  aCodec.AppendForwardingFields(aInfo, head);
   if (aRequest.mIsChunked || aRequest.mHasLength) {
     head += "Content-Length: " + std::to_string(aRequest.mBody.size()) + "\r\n";
   }
@@ -96,8 +96,8 @@
 {
   const auto endpoint = aChoice.mEndpoint;
   const int suspects = aChoice.mIsCrashSuspect ? 1 : 0;
-  // Counted before it connects, since requests whose connections broke together
-  // choose their endpoints together.
+  // Counted before connecting: requests whose connections broke together also
+  // choose their next endpoints together, and each has to see the others.
   endpoint->mSuspectRequests += suspects;
   const auto outcome = co_await RunAttempt(std::move(aChoice));
   endpoint->mSuspectRequests -= suspects;
--- a/packages/coordination/src/relay_crashes.cpp
+++ b/packages/coordination/src/relay_crashes.cpp
@@ -250,8 +250,8 @@
   }
   const auto connection = co_await ProbeEndpoint(aCore, aEndpoint);
   if (connection) {
-    // The connection is kept for the next request, since opening it has its
-    // cost.
+    // The open connection is kept for the next request, which saves opening
+    // another.
     EndpointConnection idle;
     idle.mReader = connection;
     aCore->mEndpoints.PutIdle(*aEndpoint, std::move(idle), {}, now);
--- a/packages/coordination/src/relay_crashes.h
+++ b/packages/coordination/src/relay_crashes.h
@@ -80,9 +80,9 @@
 
 /// Whether an endpoint crashed to which a connection broke just now.
 ///
-/// A connection may break for many reasons. A crash shows in that nothing
-/// listens at the endpoint's address any more; this is checked once for all
-/// requests whose connections broke together.
+/// A connection may break for many reasons. The endpoint is taken to have
+/// crashed if nothing listens at its address any more; this is checked once for
+/// all requests whose connections broke together.
 transport::Task<bool>
 HasCrashed(std::shared_ptr<Relay::Core> aCore, RelayEndpointPtr aEndpoint);
 
--- a/packages/coordination/src/relay_endpoint.cpp
+++ b/packages/coordination/src/relay_endpoint.cpp
@@ -276,7 +276,7 @@
 {
   const auto found = mById.find(aNews.mEndpoint);
   if (found == mById.end() && !aNews.mModel.empty()) {
-    // From an engine that is not listed, or no longer.
+    // The report is from an engine that is not listed, or not any more.
     return nullptr;
   }
   RelayEndpointPtr restarted;
--- a/packages/coordination/src/relay_endpoint.h
+++ b/packages/coordination/src/relay_endpoint.h
@@ -49,7 +49,7 @@
 /// Settings of RelayEndpoints.
 struct RelayEndpointSettings
 {
-  /// Of a new connection; the endpoints' zones are milliseconds apart.
+  /// Timeout of a new connection; the endpoints' zones are milliseconds apart.
   state::Millis mConnectTimeout{ 400 };
   /// Idle time after which a connection is closed if its endpoint states no
   /// limit.
@@ -82,12 +82,13 @@
   state::TimePoint mAt;
 };
 
-/// The rate to which an endpoint in need limits all relays together, as one
-/// relay knows it.
+/// The rate to which an endpoint short of capacity limits all relays together,
+/// as far as this relay knows.
 struct AdvertisedRate
 {
   double mPerSecond = 0;
-  /// When its owner may have a permit, for urgent requests and for others.
+  /// Earliest time at which its owner may have a permit, for urgent requests
+  /// and for others.
   state::TimePoint mUrgentPermitAt;
   state::TimePoint mPermitAt;
   /// When it was last reported, or a permit last requested.
--- a/packages/coordination/src/relay_feed.cpp
+++ b/packages/coordination/src/relay_feed.cpp
@@ -268,7 +268,8 @@
   if (!aSource) {
     return aAskedAt;
   }
-  // Its age is given anew in each answer and varies by some ms.
+  // Each answer gives the age anew, so the time computed from it varies by a
+  // few milliseconds.
   const bool isNew = aSource->mTroubleAt &&
                      *aSource->mTroubleAt > mLastFailureAt + kMinFailureGap;
   if (isNew) {
--- a/packages/coordination/src/relay_limits.cpp
+++ b/packages/coordination/src/relay_limits.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Pause before a share whose companion did not answer is asked again.
+/// Pause before a share is requested again from a companion that did not
+/// answer.
 constexpr Millis kSilentPause{ 500 };
 
-/// Usage that an empty share should regain before it is asked again.
+/// Usage that an empty share should regain before it is requested again.
 constexpr double kUsageBeforeRetry = 1000;
 constexpr Millis kMinPause{ 50 };
 constexpr Millis kMaxPause{ 250 };
@@ -24,7 +25,7 @@
 constexpr Millis kMinRetryAfter{ 300 };
 constexpr Millis kMaxRetryAfter{ 2000 };
 
-/// Pause before an empty share is asked again.
+/// Pause before an empty share is requested again.
 Millis
 EmptySharePause(const state::UsageLimit& aLimit)
 {
@@ -158,8 +159,8 @@
   switch (aOutcome) {
     case AttemptOutcome::kUnsent:
     case AttemptOutcome::kWithheld:
-    case AttemptOutcome::kLeft:
-    case AttemptOutcome::kNoPlace:
+    case AttemptOutcome::kLeaving:
+    case AttemptOutcome::kNoPermit:
     case AttemptOutcome::kCooldown:
     case AttemptOutcome::kNotRun:
     case AttemptOutcome::kMisdirected:
--- a/packages/coordination/src/relay_permits.cpp
+++ b/packages/coordination/src/relay_permits.cpp
@@ -69,7 +69,7 @@
       mRetryAfter = state::JitteredPause(kRetryAfterOutage, mCore->mRandom);
       break;
     default:
-      // Each available endpoint already got this request.
+      // Every available endpoint was already sent this request.
       mRetryAfter = kRetrySoon;
       break;
   }
--- a/packages/coordination/src/relay_run.cpp
+++ b/packages/coordination/src/relay_run.cpp
@@ -429,8 +429,8 @@
       break;
     case AttemptOutcome::kFailed:
     case AttemptOutcome::kWithheld:
-    case AttemptOutcome::kLeft:
-    case AttemptOutcome::kNoPlace:
+    case AttemptOutcome::kLeaving:
+    case AttemptOutcome::kNoPermit:
     case AttemptOutcome::kCooldown:
     case AttemptOutcome::kInterrupted:
       break;
--- a/packages/coordination/src/relay_run.h
+++ b/packages/coordination/src/relay_run.h
@@ -36,8 +36,8 @@
   kDone,        ///< the complete answer was forwarded
   kUnsent,      ///< the endpoint could not be reached; nothing was sent
   kWithheld,    ///< nothing was sent, and nothing may be any more
-  kLeft,        ///< nothing was sent: the endpoint accepts no more work
-  kNoPlace,     ///< nothing was sent: the endpoint advertised a rate meanwhile
+  kLeaving,     ///< nothing was sent: the endpoint accepts no more work
+  kNoPermit,    ///< nothing was sent: the endpoint advertised a rate meanwhile
   kCooldown,    ///< nothing was sent: the endpoint asked for a cooldown
   kNotRun,      ///< the endpoint reported that it did not run the request
   kMisdirected, ///< the endpoint is another, or has other weights
--- a/packages/coordination/src/relay_run_log.cpp
+++ b/packages/coordination/src/relay_run_log.cpp
@@ -8,8 +8,8 @@
 void
 RelayRun::LogSent(const EndpointChoice& aChoice)
 {
-  // The line of an attempt is written at its end: only this one shows where a
-  // process that was killed had sent requests.
+  // The outcome of an attempt is logged at its end, so only this line shows
+  // where a process that was killed had sent requests.
   EventLine line(kRelayComponent, "sent", mCall.mRequestId);
   line.Add("content", mDigest.Text())
     .Add("endpoint", aChoice.mEndpoint->mInfo.mId)
--- a/packages/coordination/src/relay_session.cpp
+++ b/packages/coordination/src/relay_session.cpp
@@ -156,7 +156,7 @@
 Task<void>
 RelaySession::Write(std::string aText)
 {
-  // The reading side notices a caller that is gone.
+  // A disconnected caller is detected by the reads.
   co_await boost::asio::async_write(
     mReader->Socket(), boost::asio::buffer(aText), transport::kAsTuple);
 }
--- a/packages/coordination/src/request_run.cpp
+++ b/packages/coordination/src/request_run.cpp
@@ -347,8 +347,9 @@
   mLastError = aFailed.mText;
   switch (aFailed.mRunState) {
     case RunState::kAlreadyTaken:
-      // A lost endpoint may have taken this very request: then no earlier one
-      // did, and the caller must not be told of an earlier one.
+      // If an attempt was lost, its endpoint may have accepted this very
+      // request. The caller must then not be told that an earlier request was
+      // accepted.
       mSettledState =
         mLifecycle->WasLost() ? RunState::kUnknown : aFailed.mRunState;
       mLifecycle->Settled();
@@ -364,7 +365,7 @@
   }
 }
 
-// The end.
+// Completion and errors.
 
 ApiError
 RequestRun::SettledError(RunState aRunState) const
--- a/packages/coordination/src/request_run.h
+++ b/packages/coordination/src/request_run.h
@@ -88,7 +88,7 @@
   std::string mText; ///< delivered so far, to resume from
   bool mHasFirstToken = false;
   bool mIsStarted = false;    ///< in the open attempt
-  bool mWasRefused = false;   ///< the last attempt was
+  bool mWasRefused = false;   ///< the last attempt was refused
   std::uint32_t mWeights = 0; ///< of the first answer; 0 until known
   std::uint32_t mRetryAfterMs = 0;
   std::optional<state::RunState> mSettledState;
--- a/packages/coordination/tests/engine_news_test.cpp
+++ b/packages/coordination/tests/engine_news_test.cpp
@@ -71,7 +71,7 @@
     Await([this] { return !mOne.mNews.empty() && !mTwo.mNews.empty(); });
   }
 
-  /// One of the relays asks for a part, and the companion received it.
+  /// Lets a relay request a part, and waits until the companion received it.
   void RequestPart(const std::string& aPart)
   {
     mServer.ChangeParts(PartHolder::kEngine, {}, { aPart }, {});
@@ -152,9 +152,9 @@
 class OfWhichOneSawACrash : public GivenACompanionAndTwoRelays
 {
 protected:
-  OfWhichOneSawACrash() { SendPartReading(false); }
+  OfWhichOneSawACrash() { ReportCrash(false); }
 
-  void SendPartReading(bool aIsCleared)
+  void ReportCrash(bool aIsCleared)
   {
     protocol::CrashReports reports;
     reports.mUpdates.push_back(
@@ -168,8 +168,8 @@
 
 TEST_F(OfWhichOneSawACrash, TheOtherReceivesItOnce)
 {
-  SendPartReading(false);
-  SendPartReading(true);
+  ReportCrash(false);
+  ReportCrash(true);
   Await([this] { return mTwo.mCrashes.size() == 2; });
   EXPECT_EQ(mTwo.mCrashes[0].mReport.mReport.mRequest, mRequest);
   EXPECT_FALSE(mTwo.mCrashes[0].mIsCleared);
@@ -189,7 +189,7 @@
 
 TEST_F(OfWhichOneSawACrash, OneThatConnectsAfterItWasClearedDoesNot)
 {
-  SendPartReading(true);
+  ReportCrash(true);
   Await([this] { return mTwo.mCrashes.size() == 2; });
   Listener late(mContext, "relay-3", mPort, mLog);
   Await([&] { return !late.mNews.empty(); });
@@ -235,7 +235,8 @@
   const auto before = mTwo.mNews.size();
   mWaiting.Add(1, 10);
   mOne.mClient.SetWaiting(Listener::kEngine, mWaiting, {});
-  // The next update that must come is about something else.
+  // This change is sent in any case, so the next update is not about the
+  // tokens.
   mServer.SetState({ "i-1", "m", 2, protocol::EnginePhase::kOpen });
   mServer.ChangeParts(PartHolder::kEngine, {}, { "s/a" }, {});
   Await([&] { return mTwo.mNews.size() > before; });
@@ -267,7 +268,7 @@
   EXPECT_TRUE(mOne.mNews.back().mAddedParts.empty());
 }
 
-TEST_F(WhoseEngineStartedAgain, PartsOfItsFormerLifeAreNotSent)
+TEST_F(WhoseEngineStartedAgain, PartsOfItsFormerIncarnationAreNotSent)
 {
   mServer.ChangeParts(PartHolder::kEngine, mFormer, { "s/b" }, {});
   mServer.ChangeParts(PartHolder::kEngine, mNow, { "s/c" }, {});
