--- a/packages/coordination/include/shuntjunction/coordination/relay.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay.h
@@ -25,7 +25,7 @@
   EventLog& mLog;
   Metrics& mMetrics;
   /// Tells the other relays that the engine at an address prefills a part; if
-  /// empty, they are not told.
+  /// empty, they are not informed.
   std::function<void(const std::string&, const protocol::PartReading&)>
     mSendPartReading = {};
   /// Reports the tokens that this relay has queued at the engine at an address,
@@ -35,7 +35,7 @@
     void(const std::string&, const state::WaitingTokens&, const std::string&)>
     mReportWaiting = {};
   /// Reports crashes of the endpoint with this number to the other relays; if
-  /// empty, they are not told.
+  /// empty, they are not informed.
   std::function<void(std::uint64_t, const protocol::CrashReports&)>
     mSendCrashReports = {};
   /// Requests a share of a team's limit from the companion of a host; if empty,
--- a/packages/coordination/include/shuntjunction/coordination/relay_feed.h
+++ b/packages/coordination/include/shuntjunction/coordination/relay_feed.h
@@ -168,13 +168,13 @@
   bool IsFollowed(const Topic& aTopic) const;
   /// Records who gave an answer; returns the time as of which the answer holds.
   state::TimePoint NoteSource(const std::optional<MirrorFreshness>& aSource,
-                              state::TimePoint aAskedAt);
+                              state::TimePoint aRequestedAt);
   /// Tells the mirror up to which revision the lists are known.
   void UpdateMirror();
   /// Records the store's revision from a topic's answer.
   void NoteRevision(Topic& aTopic,
                     std::uint64_t aRevision,
-                    state::TimePoint aAskedAt);
+                    state::TimePoint aRequestedAt);
   /// Applies all objects of a topic and passes them to the mirror; returns
   /// whether any of them is new.
   bool ApplyList(Topic& aTopic, const ObjectList& aList);
--- a/packages/coordination/src/config_feed_peers.cpp
+++ b/packages/coordination/src/config_feed_peers.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kPeersAsked = 3;
+constexpr std::size_t kMaxPeersQueried = 3;
 
 } // namespace
 
@@ -70,7 +70,7 @@
       continue;
     }
     const auto peers =
-      state::SelectPeers(*mInstances, mSettings.mName, kPeersAsked);
+      state::SelectPeers(*mInstances, mSettings.mName, kMaxPeersQueried);
     if (!peers.empty()) {
       std::uniform_int_distribution<std::size_t> any(0, peers.size() - 1);
       co_await QuerySnapshot(mCompanions, peers[any(mRandom)].mAddress);
@@ -83,7 +83,7 @@
 {
   auto peers = mSettings.mPeers;
   std::shuffle(peers.begin(), peers.end(), mRandom);
-  peers.resize(std::min(peers.size(), kPeersAsked));
+  peers.resize(std::min(peers.size(), kMaxPeersQueried));
   for (const auto& peer : peers) {
     co_await QuerySnapshot(mPeers, peer);
   }
--- a/packages/coordination/src/engine_news_client.cpp
+++ b/packages/coordination/src/engine_news_client.cpp
@@ -138,9 +138,9 @@
       } else if (const auto* grant =
                    std::get_if<protocol::LimitGrant>(&*message)) {
         CompleteRequest(grant->mId, *message);
-      } else if (const auto* place =
+      } else if (const auto* permit =
                    std::get_if<protocol::PlaceGrant>(&*message)) {
-        CompleteRequest(place->mId, *message);
+        CompleteRequest(permit->mId, *message);
       }
     }
     aChannel->Close();
--- a/packages/coordination/src/relay_feed.cpp
+++ b/packages/coordination/src/relay_feed.cpp
@@ -176,7 +176,7 @@
 RelayFeed::Follow(Topic& aTopic)
 {
   while (IsFollowed(aTopic)) {
-    aTopic.mAskedAt = mClock.Now();
+    aTopic.mRequestedAt = mClock.Now();
     aTopic.mIsAbandoned = false;
     Result<void> done;
     if (aTopic.mIsListed) {
@@ -184,7 +184,7 @@
     } else {
       done = co_await ListOnce(aTopic);
     }
-    aTopic.mAskedAt.reset();
+    aTopic.mRequestedAt.reset();
     if (done) {
       NoteSuccess(aTopic);
       continue;
@@ -208,7 +208,7 @@
     co_return tl::unexpected(list.error());
   }
   const auto askedAt = NoteSource(
-    list->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
+    list->mMirrorFreshness, *std::exchange(aTopic.mRequestedAt, std::nullopt));
   aTopic.mIsListed = true;
   if (list->mRevision >= aTopic.mRevision) {
     ApplyList(aTopic, *list);
@@ -237,8 +237,9 @@
                  .Add("revision", aTopic.mRevision));
     co_return Result<void>{};
   }
-  const auto askedAt = NoteSource(
-    answer->mMirrorFreshness, *std::exchange(aTopic.mAskedAt, std::nullopt));
+  const auto askedAt =
+    NoteSource(answer->mMirrorFreshness,
+               *std::exchange(aTopic.mRequestedAt, std::nullopt));
   // The list may have been read meanwhile, and contain some of the changes
   // already.
   const auto known = aTopic.mRevision;
@@ -263,10 +264,10 @@
 
 state::TimePoint
 RelayFeed::NoteSource(const std::optional<MirrorFreshness>& aSource,
-                      state::TimePoint aAskedAt)
+                      state::TimePoint aRequestedAt)
 {
   if (!aSource) {
-    return aAskedAt;
+    return aRequestedAt;
   }
   // Each answer gives the age anew, so the time computed from it varies by a
   // few milliseconds.
--- a/packages/coordination/src/relay_feed_liveness.cpp
+++ b/packages/coordination/src/relay_feed_liveness.cpp
@@ -29,12 +29,12 @@
 void
 RelayFeed::NoteRevision(Topic& aTopic,
                         std::uint64_t aRevision,
-                        state::TimePoint aAskedAt)
+                        state::TimePoint aRequestedAt)
 {
-  aTopic.mFreshness.NoteListRevision(aRevision, aAskedAt);
+  aTopic.mFreshness.NoteListRevision(aRevision, aRequestedAt);
   for (auto* other : Topics()) {
     if (other != &aTopic) {
-      other->mFreshness.NoteStoreRevision(aRevision, aAskedAt);
+      other->mFreshness.NoteStoreRevision(aRevision, aRequestedAt);
     }
   }
   UpdateMirror();
@@ -91,8 +91,8 @@
   while (aTopic.mFreshness.Known() < revision) {
     // Between two calls no answer is pending, and the next call follows anyway.
     const bool isSilent =
-      aTopic.mAskedAt &&
-      mClock.Now() - std::max(*aTopic.mAskedAt, reportedAt) >= kWatchGrace;
+      aTopic.mRequestedAt &&
+      mClock.Now() - std::max(*aTopic.mRequestedAt, reportedAt) >= kWatchGrace;
     if (isSilent) {
       co_await RereadList(aTopic);
       break;
@@ -142,13 +142,13 @@
   const auto topics = Topics();
   const bool isAny =
     std::any_of(topics.begin(), topics.end(), [&](const Topic* aTopic) {
-      return aTopic->mAskedAt && *aTopic->mAskedAt <= mLastFailureAt;
+      return aTopic->mRequestedAt && *aTopic->mRequestedAt <= mLastFailureAt;
     });
   if (!isAny) {
     return;
   }
   for (auto* topic : topics) {
-    topic->mIsAbandoned = topic->mAskedAt.has_value();
+    topic->mIsAbandoned = topic->mRequestedAt.has_value();
   }
   mPlatform.AbortPendingCalls();
 }
--- a/packages/coordination/src/relay_feed_topic.h
+++ b/packages/coordination/src/relay_feed_topic.h
@@ -35,7 +35,7 @@
   state::ListFreshness mFreshness;
   bool mIsBeingChecked = false;
   /// When the pending call was made; empty while there is none.
-  std::optional<state::TimePoint> mAskedAt;
+  std::optional<state::TimePoint> mRequestedAt;
   bool mIsAbandoned = false; ///< that call was cancelled by this process itself
   state::Millis mPause{ 0 };
 };
--- a/packages/coordination/src/relay_limits.cpp
+++ b/packages/coordination/src/relay_limits.cpp
@@ -65,27 +65,27 @@
   }
   const auto amount = RequestCost();
   const auto until = mArrival + std::max(kRetrySoon, mRoute->mObjective / 2);
-  UsageReservation answer;
+  UsageReservation reservation;
   while (mInterrupt == RunInterrupt::kNone) {
-    answer = co_await RequestUsage(amount);
-    if (answer.mReserved >= amount) {
+    reservation = co_await RequestUsage(amount);
+    if (reservation.mReserved >= amount) {
       co_return true;
     }
     ReleaseUsage();
     // While no companion is reachable, nothing is known of the limit. After a
     // total outage they come back one after the other, and one is enough.
-    if (answer.mAsked > 0 || Now() >= until) {
+    if (reservation.mAnswered > 0 || Now() >= until) {
       break;
     }
     co_await transport::Sleep(kPollInterval);
   }
   if (mInterrupt == RunInterrupt::kNone) {
-    mIsOverLimit = answer.mAsked > 0;
+    mIsOverLimit = reservation.mAnswered > 0;
     mLastProblem = mIsOverLimit ? "over-limit" : "limit-unknown";
     mRetryAfter = state::JitteredPause(
-      std::clamp(answer.mRefill, kMinRetryAfter, kMaxRetryAfter),
+      std::clamp(reservation.mRefill, kMinRetryAfter, kMaxRetryAfter),
       mCore->mRandom);
-    LogLimit(answer, amount);
+    LogLimit(reservation, amount);
   }
   co_return false;
 }
@@ -93,51 +93,52 @@
 Task<UsageReservation>
 RelayRun::RequestUsage(std::uint32_t aAmount)
 {
-  UsageReservation answer;
+  UsageReservation reservation;
   auto& shares = mCore->mShares;
   const auto& requestShare = mCore->mDependencies.mRequestShare;
   const auto sources = shares.SourcesOf(state::HashOfTeam(mTeam->mName),
                                         mCore->mDependencies.mSettings.mZone);
   for (const auto& source : sources) {
-    if (answer.mReserved >= aAmount || mInterrupt != RunInterrupt::kNone) {
+    if (reservation.mReserved >= aAmount || mInterrupt != RunInterrupt::kNone) {
       break;
     }
     const auto known = shares.StateOf(source.mKey, Now());
     if (known != state::ShareState::kOpen) {
-      ++(known == state::ShareState::kEmpty ? answer.mAsked : answer.mSilent);
+      ++(known == state::ShareState::kEmpty ? reservation.mAnswered
+                                            : reservation.mSilent);
       continue;
     }
     const state::ShareRequest request{ source.mKey,
                                        mTeam->mLimit,
                                        mView->mConfig->Version(),
-                                       aAmount - answer.mReserved };
-    const auto askedAt = Now();
+                                       aAmount - reservation.mReserved };
+    const auto requestedAt = Now();
     std::optional<state::ShareGrant> grant;
     if (requestShare) {
       grant = co_await requestShare(source.mHost, request);
     }
     if (!grant) {
-      ++answer.mSilent;
+      ++reservation.mSilent;
       // A companion that is not connected costs nothing to ask again.
-      if (Now() - askedAt >= kPollInterval) {
+      if (Now() - requestedAt >= kPollInterval) {
         shares.Exclude(
           source.mKey, state::ShareState::kSilent, Now() + kSilentPause);
       }
       continue;
     }
-    ++answer.mAsked;
+    ++reservation.mAnswered;
     if (grant->mAmount > 0) {
       mReservedUsage.push_back({ source, grant->mAmount });
-      answer.mReserved += grant->mAmount;
+      reservation.mReserved += grant->mAmount;
     }
     if (grant->mAmount < request.mAmount) {
       shares.Exclude(source.mKey,
                      state::ShareState::kEmpty,
                      Now() + EmptySharePause(mTeam->mLimit));
-      answer.mRefill = std::max(answer.mRefill, grant->mRefill);
+      reservation.mRefill = std::max(reservation.mRefill, grant->mRefill);
     }
   }
-  co_return answer;
+  co_return reservation;
 }
 
 void
@@ -176,7 +177,7 @@
 }
 
 void
-RelayRun::LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount)
+RelayRun::LogLimit(const UsageReservation& aReservation, std::uint32_t aAmount)
 {
   mCore->mDependencies.mLog.Write(
     EventLine(kRelayComponent, "limit", mCall.mRequestId)
@@ -187,10 +188,10 @@
       .Add("burst", mTeam->mLimit.mBurst)
       .Add("config", mView->mConfig->Version())
       .Add("wanted", aAmount)
-      .Add("got", aAnswer.mReserved)
-      .Add("shares_asked", aAnswer.mAsked)
-      .Add("shares_silent", aAnswer.mSilent)
-      .Add("refill_ms", aAnswer.mRefill.count())
+      .Add("got", aReservation.mReserved)
+      .Add("shares_asked", aReservation.mAnswered)
+      .Add("shares_silent", aReservation.mSilent)
+      .Add("refill_ms", aReservation.mRefill.count())
       .Add("retry_after_ms", mRetryAfter.count()));
   mCore->mDependencies.mMetrics.Count(
     "shuntjunction_relay_limit_refusals_total",
--- a/packages/coordination/src/relay_run.h
+++ b/packages/coordination/src/relay_run.h
@@ -73,8 +73,9 @@
 /// Result of requesting usage from a team's companions.
 struct UsageReservation
 {
-  int mAsked = 0;  ///< shares whose companions answered, or known empty
-  int mSilent = 0; ///< shares whose companions could not be asked
+  /// Shares whose companions answered, or that are known to be empty.
+  int mAnswered = 0;
+  int mSilent = 0; ///< shares whose companions did not answer
   std::uint32_t mReserved = 0;
   state::Millis mRefill{ 0 }; ///< until one of them has more
 };
@@ -131,7 +132,7 @@
   void ReleaseUsage();
   /// Counts the reserved usage as used if an endpoint may have run the request.
   void CommitUsage(AttemptOutcome aOutcome);
-  void LogLimit(const UsageReservation& aAnswer, std::uint32_t aAmount);
+  void LogLimit(const UsageReservation& aReservation, std::uint32_t aAmount);
 
   // The endpoint's own limit.
   /// Whether the chosen endpoint may get the request now, as far as its rate
