--- a/packages/coordination/include/shuntjunction/coordination/engine_control.h
+++ b/packages/coordination/include/shuntjunction/coordination/engine_control.h
@@ -65,7 +65,7 @@
   std::uint64_t mEpoch = 0; ///< differs after a restart, when nothing is stored
   std::uint64_t mNext = 0;  ///< position for the next call
   bool mIsGap = false;      ///< some changes before these were discarded
-  /// Of the engine or store that responded.
+  /// Incarnation of the engine or store that responded.
   state::EndpointIncarnation mEndpointIncarnation;
   std::vector<PartChange> mChanges;
 };
--- a/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
+++ b/packages/coordination/include/shuntjunction/coordination/mirrored_platform.h
@@ -38,8 +38,10 @@
   std::string mName;   ///< name of this process
   std::string mSecret; ///< shared with the watchers
   std::string mZone;
-  std::string mLocalEngine;     ///< engine address; identifies this companion
-  std::uint16_t mWatchPort = 0; ///< port on which watchers serve
+  /// Address of this companion's engine. A companion never queries itself, and
+  /// the first watcher of the zone queries no other one.
+  std::string mLocalEngine;
+  std::uint16_t mWatchPort = 0;       ///< port on which watchers serve
   std::vector<std::string> mPrefixes; ///< prefixes to mirror
   /// Prefix whose watches return on every update, as a confirmation.
   std::string mConfirmed;
@@ -57,8 +59,8 @@
 };
 
 /// Serves lists and watches from the mirror of a watcher in the zone. Falls
-/// back to the store while no watcher responds, and in a process that is a
-/// watcher.
+/// back to the store while no watcher responds, and in a process that is the
+/// zone's first watcher or has served other processes recently.
 ///
 /// This saves calls to the store: if every process follows the store itself,
 /// each makes one call per second and one per change, e.g. 15,580 calls in 58 s
--- a/packages/coordination/include/shuntjunction/coordination/weights_controller.h
+++ b/packages/coordination/include/shuntjunction/coordination/weights_controller.h
@@ -11,7 +11,7 @@
 #include "shuntjunction/coordination/relay_feed.h"
 #include "shuntjunction/coordination/relay_settings.h"
 
-/// Updates a companion's engine to the named weights version.
+/// Updates a companion's engine to the latest weights version.
 namespace shuntjunction::coordination {
 
 /// Dependencies of a WeightsController; all of them outlive it.
--- a/packages/coordination/src/companion_work.cpp
+++ b/packages/coordination/src/companion_work.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Retry delay with a refusal after which another endpoint should be used.
+/// Retry delay sent with a refusal if the router should try another endpoint.
 constexpr Millis kRetryElsewhereDelay{ 100 };
 constexpr Millis kRetryLaterDelay{ 1000 };
 /// Timeout for the next event of a response.
--- a/packages/coordination/src/engine_reconciler.cpp
+++ b/packages/coordination/src/engine_reconciler.cpp
@@ -26,7 +26,8 @@
 constexpr int kMaxSteps = 12;       ///< per order, including repeated reads
 constexpr std::size_t kBatches = 3; ///< in which a model's endpoints change
 
-/// Longest wait for earlier batches, after which a lost companion is ignored.
+/// Maximum wait for earlier batches; a companion that takes longer is assumed
+/// lost and is skipped.
 constexpr Millis kMaxBatchWait{ 60000 };
 
 } // namespace
--- a/packages/coordination/src/fleet_daemon.cpp
+++ b/packages/coordination/src/fleet_daemon.cpp
@@ -165,9 +165,9 @@
   static RelayFeedSettings FeedSettings(const FleetSettings& aSettings)
   {
     RelayFeedSettings feed;
-    // Each return of this watch also reveals whether the endpoint list is
-    // behind. The other half of the bound is left for reading the list again
-    // and for requests that are being sent.
+    // Each return of this watch also reveals whether the endpoint list is out
+    // of date. The other half of the drain deadline is left for reading the
+    // list again and for requests that are being sent.
     feed.mConfigWait = std::min(
       state::ConfirmationWait(aSettings.mBounds.mKeyRevocationDeadline),
       aSettings.mBounds.mDrainDeadline / 2);
--- a/packages/coordination/src/mirrored_platform.cpp
+++ b/packages/coordination/src/mirrored_platform.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::string_view kComponent = "watch";
 
-/// A process that received no request for this long stops serving and follows
-/// the store as before: by then the zone's watchers are other processes.
+/// Time without requests after which a process that is not the first watcher
+/// reads through a watcher again: by then the others query another process.
 constexpr Millis kServingTimeout{ 10000 };
 
 } // namespace
--- a/packages/coordination/src/zone_mirror.cpp
+++ b/packages/coordination/src/zone_mirror.cpp
@@ -14,7 +14,7 @@
 /// Interval at which a watcher checks whether it still receives requests.
 constexpr Millis kIdleCheckInterval{ 2000 };
 
-// Fractions of the operator's bounds. A silent watcher delays changes by at
+// Divisors of the operator's bounds. A silent watcher delays changes by at
 // most two response timeouts and one query interval, which stays below half of
 // the bound on leaving endpoints.
 constexpr int kQueriesPerLeaving = 5;
