--- a/packages/coordination/src/fleet_daemon.cpp
+++ b/packages/coordination/src/fleet_daemon.cpp
@@ -332,8 +332,9 @@
       mControl,
       *mEngine,
       mLog,
-      [this](auto aLife, const auto& aGained, const auto& aLost) {
-        mNewsServer->ChangeParts(PartHolder::kEngine, aLife, aGained, aLost);
+      [this](auto aIncarnation, const auto& aGained, const auto& aLost) {
+        mNewsServer->ChangeParts(
+          PartHolder::kEngine, aIncarnation, aGained, aLost);
       },
       [this] { mNewsServer->ClearParts(PartHolder::kEngine); });
     mPartFollower->Start();
--- a/packages/coordination/src/part_store_reporter.cpp
+++ b/packages/coordination/src/part_store_reporter.cpp
@@ -85,9 +85,9 @@
       mDependencies.mContext,
       *mStore,
       mDependencies.mLog,
-      [this](auto aLife, const auto& aGained, const auto& aLost) {
+      [this](auto aIncarnation, const auto& aGained, const auto& aLost) {
         mDependencies.mNews.ChangeParts(
-          PartHolder::kStore, aLife, aGained, aLost);
+          PartHolder::kStore, aIncarnation, aGained, aLost);
       },
       [this] { mDependencies.mNews.ClearParts(PartHolder::kStore); });
     mFollower->Start();
--- a/packages/coordination/src/quarantine_writer.cpp
+++ b/packages/coordination/src/quarantine_writer.cpp
@@ -60,7 +60,8 @@
     mPending.erase(aRequest);
   }
 
-  /// Writes an entry, or replaces an existing one that expires earlier.
+  /// Writes an entry; replaces an existing one that expires more than a minute
+  /// earlier.
   Task<Result<void>> Write(RequestDigest aRequest, std::int64_t aUntil)
   {
     const auto key = mDependencies.mCodec.QuarantinePrefix() + aRequest.Text();
@@ -83,8 +84,8 @@
     co_return Result<void>{};
   }
 
-  /// Whether another relay has already written an entry with about the same
-  /// expiry.
+  /// Whether an existing entry expires at most a minute earlier, as that of
+  /// another relay which saw the same crash; it need not be replaced.
   bool IsEquivalent(const std::optional<state::RawObject>& aExisting,
                     std::int64_t aUntil) const
   {
--- a/packages/coordination/src/router.cpp
+++ b/packages/coordination/src/router.cpp
@@ -38,12 +38,12 @@
 struct Router::ProbeRound
 {
   explicit ProbeRound(const asio::any_io_executor& aExecutor)
-    : mSettled(aExecutor)
+    : mCompletions(aExecutor)
   {
   }
 
   std::vector<ProbeResult> mResults;
-  transport::Mailbox<bool> mSettled; ///< one message per completed probe
+  transport::Mailbox<bool> mCompletions; ///< one message per completed probe
   TimePoint mDeadline;
 };
 
@@ -243,7 +243,7 @@
       probed.mHasReplied = true;
     }
   }
-  aRound->mSettled.Push(true);
+  aRound->mCompletions.Push(true);
 }
 
 Task<std::vector<Router::ProbeResult>>
@@ -267,8 +267,9 @@
                  {},
                  static_cast<double>(round->mResults.size()));
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
-    const auto settled = co_await round->mSettled.Receive(round->mDeadline);
-    if (!settled) {
+    const auto completion =
+      co_await round->mCompletions.Receive(round->mDeadline);
+    if (!completion) {
       break;
     }
   }
--- a/packages/coordination/src/weights_controller.cpp
+++ b/packages/coordination/src/weights_controller.cpp
@@ -192,20 +192,20 @@
     return std::nullopt;
   }
   for (const auto& loaded : own->mModels) {
-    const auto named = mView->mWeights.find(loaded.mName);
-    if (named == mView->mWeights.end()) {
+    const auto entry = mView->mWeights.find(loaded.mName);
+    if (entry == mView->mWeights.end()) {
       continue;
     }
-    const auto& news = named->second;
-    const LatestWeights weights{ loaded.mName, news.Newest() };
+    const auto& history = entry->second;
+    const LatestWeights weights{ loaded.mName, history.Newest() };
     if (KnownVersion(*own, loaded) >= weights.mVersion) {
       continue;
     }
     const auto delay = state::LoadStartOf(
-      news.mLoadOrder, own->mId, mDependencies.mSettings.mLoadSchedule);
+      history.mLoadOrder, own->mId, mDependencies.mSettings.mLoadSchedule);
     return Task{ own->mId,
                  weights,
-                 news.NewestLearnedAt() + delay.value_or(Millis(0)) };
+                 history.NewestLearnedAt() + delay.value_or(Millis(0)) };
   }
   return std::nullopt;
 }
